--- a/crates/adapter/src/settings.rs
+++ b/crates/adapter/src/settings.rs
@@ -34,9 +34,9 @@
 }
 
 /// The values of the settings by path.
-pub struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
+pub struct SettingValues<'a>(BTreeMap<&'a str, &'a str>);
 
-impl<'a> Pairs<'a> {
+impl<'a> SettingValues<'a> {
     /// Splits a text into `path=value` pairs, which are separated by spaces.
     ///
     /// # Errors
@@ -50,12 +50,12 @@
             };
             pairs.insert(path, value);
         }
-        Ok(Pairs(pairs))
+        Ok(SettingValues(pairs))
     }
 
     /// Returns settings from pairs that are already split; their values may contain any character.
     pub fn of(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
-        Pairs(pairs.into_iter().collect())
+        SettingValues(pairs.into_iter().collect())
     }
 
     /// Parses a value; returns `None` if it is absent.
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     ///
-    /// See [`Pairs::get`].
+    /// See [`SettingValues::get`].
     pub fn number(&self, path: &str) -> Result<f64, SettingError> {
         let number = self.get::<f64>(path)?;
         Ok(number.filter(|number| number.is_finite()).unwrap_or(0.0))
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     ///
-    /// See [`Pairs::get`].
+    /// See [`SettingValues::get`].
     pub fn duration(&self, path: &str) -> Result<Duration, SettingError> {
         Ok(duration_from_millis(self.number(path)?))
     }
@@ -98,7 +98,7 @@
     ///
     /// # Errors
     ///
-    /// See [`Pairs::get`].
+    /// See [`SettingValues::get`].
     pub fn flag(&self, path: &str) -> Result<bool, SettingError> {
         Ok(self.get(path)?.unwrap_or(false))
     }
@@ -107,7 +107,7 @@
     ///
     /// # Errors
     ///
-    /// See [`Pairs::get`].
+    /// See [`SettingValues::get`].
     pub fn count(&self, path: &str) -> Result<usize, SettingError> {
         Ok(self.get(path)?.unwrap_or(0))
     }
@@ -129,14 +129,14 @@
 /// # Errors
 ///
 /// Returns an error if a value cannot be parsed.
-pub fn traffic_classes(pairs: &Pairs) -> Result<Vec<TrafficClass>, SettingError> {
+pub fn traffic_classes(pairs: &SettingValues) -> Result<Vec<TrafficClass>, SettingError> {
     let count = pairs.count("profiles.count")?;
     (0..count)
         .map(|index| traffic_class(pairs, index))
         .collect()
 }
 
-fn traffic_class(pairs: &Pairs, index: usize) -> Result<TrafficClass, SettingError> {
+fn traffic_class(pairs: &SettingValues, index: usize) -> Result<TrafficClass, SettingError> {
     let path = |name: &str| format!("profiles.{index}.{name}");
     let scope = match pairs.text(&path("key-scope")) {
         "all" => DeduplicationScope::All,
@@ -165,12 +165,12 @@
 /// # Errors
 ///
 /// Returns an error if a value cannot be parsed.
-pub fn plans(pairs: &Pairs) -> Result<Vec<Plan>, SettingError> {
+pub fn plans(pairs: &SettingValues) -> Result<Vec<Plan>, SettingError> {
     let count = pairs.count("plans.count")?;
     (0..count).map(|index| plan(pairs, index)).collect()
 }
 
-fn plan(pairs: &Pairs, index: usize) -> Result<Plan, SettingError> {
+fn plan(pairs: &SettingValues, index: usize) -> Result<Plan, SettingError> {
     let number = |name: &str| pairs.number(&format!("plans.{index}.{name}"));
     Ok(Plan {
         base_rate: number("base-rate")?,
@@ -188,7 +188,7 @@
 /// # Errors
 ///
 /// Returns an error if a value cannot be parsed.
-pub fn units(pairs: &Pairs) -> Result<UnitSettings, SettingError> {
+pub fn units(pairs: &SettingValues) -> Result<UnitSettings, SettingError> {
     Ok(UnitSettings {
         mean: pairs.number("family-info.mean-units")?,
         largest: pairs.number("family-info.largest")?,
@@ -203,7 +203,7 @@
 /// # Errors
 ///
 /// Returns an error if a value cannot be parsed.
-pub fn host_limits(pairs: &Pairs) -> Result<HostLimits, SettingError> {
+pub fn host_limits(pairs: &SettingValues) -> Result<HostLimits, SettingError> {
     let max_attempts = pairs.get::<f64>("caps.max-attempts")?;
     let max_attempts = max_attempts.filter(|attempts| attempts.is_finite());
     let max_retry_after = pairs.duration("caps.max-retry-after-ms")?;
@@ -220,7 +220,7 @@
 /// # Errors
 ///
 /// Returns an error if a value cannot be parsed.
-pub fn slow_start_policy(pairs: &Pairs) -> Result<SlowStartPolicy, SettingError> {
+pub fn slow_start_policy(pairs: &SettingValues) -> Result<SlowStartPolicy, SettingError> {
     Ok(SlowStartPolicy {
         hosts: pairs.count("balancers")?,
         units: pairs.number("family-info.cold-units")?,
@@ -236,7 +236,7 @@
 /// # Errors
 ///
 /// Returns an error if a value cannot be parsed.
-pub fn discovery_policy(pairs: &Pairs) -> Result<DiscoveryPolicy, SettingError> {
+pub fn discovery_policy(pairs: &SettingValues) -> Result<DiscoveryPolicy, SettingError> {
     Ok(DiscoveryPolicy {
         polled: pairs.text("registry-mode") == "on_request",
         poll_interval: pairs.duration("rules.ask-every-ms")?,
@@ -249,7 +249,7 @@
 /// # Errors
 ///
 /// Returns an error if a value cannot be parsed.
-pub fn retry_budget(pairs: &Pairs) -> Result<Option<RetryBudget>, SettingError> {
+pub fn retry_budget(pairs: &SettingValues) -> Result<Option<RetryBudget>, SettingError> {
     let Some(ratio) = pairs.get::<f64>("rules.further-ratio")? else {
         return Ok(None);
     };
@@ -265,12 +265,12 @@
 /// # Errors
 ///
 /// Returns an error if a value cannot be parsed.
-pub fn key_cooldown(pairs: &Pairs) -> Result<Duration, SettingError> {
+pub fn key_cooldown(pairs: &SettingValues) -> Result<Duration, SettingError> {
     pairs.duration("rules.settle-after-doubt-ms")
 }
 
 /// Returns the index of a named number in a node's load report, or `None` if nodes do not report it.
-pub fn report_index(pairs: &Pairs, name: &str) -> Option<usize> {
+pub fn report_index(pairs: &SettingValues, name: &str) -> Option<usize> {
     let mut fields = pairs.text("report.fields").split(',');
     fields.position(|field| field == name)
 }
--- a/crates/adapter/src/wire/session.rs
+++ b/crates/adapter/src/wire/session.rs
@@ -6,7 +6,7 @@
 use super::error::WireError;
 use super::events::{is_event, parse_endpoint, parse_event, parse_update_kind, MessageScope};
 use super::values::Values;
-use grebecleat_adapter::settings::{self, Pairs};
+use grebecleat_adapter::settings::{self, SettingValues};
 use grebecleat_scheduler::api::{Endpoint, EndpointUpdateKind, Event};
 use grebecleat_scheduler::scheduler::Scheduler;
 use std::collections::BTreeMap;
@@ -114,7 +114,7 @@
             message: values.message().to_string(),
             field: SEED,
         })?;
-        let pairs = Pairs::read(parts.next().unwrap_or_default())?;
+        let pairs = SettingValues::read(parts.next().unwrap_or_default())?;
         self.hosts.insert(name.to_string(), new_host(seed, &pairs)?);
         Ok(())
     }
@@ -196,7 +196,7 @@
     unsigned.or_else(|| text.parse::<i64>().ok().map(|seed| seed as u64))
 }
 
-fn new_host(seed: u64, pairs: &Pairs) -> Result<Host, WireError> {
+fn new_host(seed: u64, pairs: &SettingValues) -> Result<Host, WireError> {
     let traffic_classes = settings::traffic_classes(pairs)?;
     let plans = settings::plans(pairs)?;
     let scope = MessageScope {
@@ -206,7 +206,7 @@
     };
     let units = settings::units(pairs)?;
     let limits = settings::host_limits(pairs)?;
-    let scheduler = Scheduler::new(seed, traffic_classes, plans, units, limits).with_rules(
+    let scheduler = Scheduler::new(seed, traffic_classes, plans, units, limits).with_policies(
         settings::slow_start_policy(pairs)?,
         settings::discovery_policy(pairs)?,
         settings::retry_budget(pairs)?,
--- a/crates/bench/src/commands.rs
+++ b/crates/bench/src/commands.rs
@@ -10,7 +10,7 @@
 use grebecleat_iscsi::scsi::Unit;
 use grebecleat_iscsi_target::blocks::RequestOutcome;
 use grebecleat_iscsi_target::engine::{
-    ConnNo, Engine, EngineConfig, Input, Output, Request, TargetFacts, VolumeFacts,
+    ConnNo, Engine, EngineConfig, Input, Output, Request, TargetDescription, VolumeDescription,
 };
 use grebecleat_iscsi_target::pressure::WindowLimits;
 use grebecleat_iscsi_target::versions::Versions;
@@ -96,13 +96,13 @@
             read_only: false,
         };
         let placed = (0..2048).map(|extent| (extent, 1)).collect();
-        let volume = VolumeFacts {
+        let volume = VolumeDescription {
             volume: 1,
             unit,
             extent_blocks: 512,
             placed,
         };
-        let facts = vec![TargetFacts {
+        let facts = vec![TargetDescription {
             name: TARGET_NAME.into(),
             luns: vec![0],
         }];
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -145,7 +145,7 @@
             settings.units.clone(),
             settings.host_limits.clone(),
         )
-        .with_rules(settings.rules.cold.clone(), discovery, None, key_cooldown);
+        .with_policies(settings.rules.cold.clone(), discovery, None, key_cooldown);
         let mut this = SchedulerLoop {
             scheduler,
             nodes,
--- a/crates/bench/src/deferral.rs
+++ b/crates/bench/src/deferral.rs
@@ -144,7 +144,7 @@
             let wait = wake
                 .saturating_sub(clock::now())
                 .clamp(Duration::from_micros(200), Duration::from_millis(5));
-            let Some((itt, response)) = session.any_within(wait)? else {
+            let Some((itt, response)) = session.wait_any_timeout(wait)? else {
                 continue;
             };
             let Some(arrived) = open.remove(&itt) else {
--- a/crates/bench/src/planner.rs
+++ b/crates/bench/src/planner.rs
@@ -100,7 +100,7 @@
             let mut admission = Admission::open(&catalog, site.spread);
             let open_ms = started.elapsed().as_secs_f64() * 1e3;
             let mut elapsed_ms = [Vec::new(), Vec::new()];
-            let mut losses = 0;
+            let mut outages = 0;
             for (i, steps) in [0, 0, 0, 0, 0, usize::MAX, usize::MAX, usize::MAX]
                 .into_iter()
                 .enumerate()
@@ -125,7 +125,7 @@
                     .expect("the entry follows the current version");
                 let outcome = admission.land(&catalog, &change, steps);
                 elapsed_ms[usize::from(steps > 0)].push(started.elapsed().as_secs_f64() * 1e3);
-                losses = losses.max(outcome.unexamined_losses);
+                outages = outages.max(outcome.unevaluated_outages);
             }
             let median = |samples: &mut Vec<f64>| {
                 samples.sort_by(f64::total_cmp);
@@ -133,7 +133,7 @@
             };
             let [without_losses, with_losses] = &mut elapsed_ms;
             println!(
-                "| {volumes} | {nodes} | {filled} | {open_ms:.1} | {:.2} | {:.1} | {losses} |",
+                "| {volumes} | {nodes} | {filled} | {open_ms:.1} | {:.2} | {:.1} | {outages} |",
                 median(without_losses),
                 median(with_losses)
             );
--- a/crates/catalog-service/src/service/config_update.rs
+++ b/crates/catalog-service/src/service/config_update.rs
@@ -4,7 +4,7 @@
 use super::peer_table::PeerTable;
 use crate::codec::{change_to_proto, revision_to_proto};
 use crate::parts::send_in_parts;
-use grebecleat_catalog::leader::{for_host, is_for, Epoch, Grant, Leader};
+use grebecleat_catalog::leader::{filter_for_host, is_needed_by, Epoch, Grant, Leader};
 use grebecleat_catalog::records::Name;
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -46,7 +46,7 @@
     let state = leader
         .catalog()
         .state_at(grant.from)
-        .filter(|change| is_for(change, host))
+        .filter(|change| is_needed_by(change, host))
         .map(|change| change_to_proto(&change));
     send_in_parts(state, |state, _| {
         frames.send(Body::ConfigUpdate(pb::ConfigUpdate {
@@ -69,7 +69,7 @@
     let revisions = catalog.since(grant.from).into_iter().flatten();
     let revisions = revisions
         .filter(|revision| revision.version <= grant.to)
-        .map(|revision| revision_to_proto(&for_host(catalog, grant.stable, revision, host)));
+        .map(|revision| revision_to_proto(&filter_for_host(catalog, grant.stable, revision, host)));
     send_in_parts(revisions, |revisions, more| {
         frames.send(Body::ConfigUpdate(pb::ConfigUpdate {
             revisions,
--- a/crates/catalog-service/src/service/leader_actions.rs
+++ b/crates/catalog-service/src/service/leader_actions.rs
@@ -55,7 +55,7 @@
                     None => self.peers.reject(call, reason),
                 },
                 Action::Preview { call, verdict } => self.report_preview(call, &verdict),
-                Action::Note { text } => info!("{text}"),
+                Action::Log { text } => info!("{text}"),
             }
         }
         self.commits.commit(pending);
@@ -95,7 +95,7 @@
                 call,
                 version: version.0,
                 warnings: reason_texts(&verdict.warnings),
-                unseen: verdict.unexamined_losses as u32,
+                unseen: verdict.unevaluated_outages as u32,
                 blind: verdict.capacity_unknown,
                 waits_for,
             })
@@ -110,7 +110,7 @@
                 version,
                 objections: reason_texts(&verdict.objections),
                 warnings: reason_texts(&verdict.warnings),
-                unseen: verdict.unexamined_losses as u32,
+                unseen: verdict.unevaluated_outages as u32,
                 blind: verdict.capacity_unknown,
             })
         });
--- a/crates/catalog-service/src/service/membership_link.rs
+++ b/crates/catalog-service/src/service/membership_link.rs
@@ -10,7 +10,7 @@
 use grebecleat_catalog::leader::{CallId, Event as LeaderEvent, Leader, Proposal};
 use grebecleat_catalog::records::Version;
 use grebecleat_membership::drains::{
-    Action as MembershipAction, Event as MembershipEvent, Membership, NodeFacts, ProposalId,
+    Action as MembershipAction, Event as MembershipEvent, Membership, NodeAttributes, ProposalId,
 };
 use grebecleat_wire::clock;
 use std::collections::BTreeMap;
@@ -177,14 +177,14 @@
 fn membership_event(version: Version, change: Change) -> Option<MembershipEvent> {
     match change {
         Change::Node { id, to } => {
-            let facts = to.map(|node| NodeFacts {
+            let attributes = to.map(|node| NodeAttributes {
                 name: node.name,
                 zone: node.zone,
                 shard: node.shard,
             });
             Some(MembershipEvent::Node {
                 node: id,
-                to: facts,
+                to: attributes,
             })
         }
         Change::Drain { node, to } => Some(MembershipEvent::Drain { node, to, version }),
--- a/crates/catalog-service/src/service/requests.rs
+++ b/crates/catalog-service/src/service/requests.rs
@@ -11,9 +11,9 @@
 use grebecleat_catalog::feed::HostNumber;
 use grebecleat_catalog::leader::{CallId, Epoch, Event as LeaderEvent, Proposal};
 use grebecleat_catalog::records::Version;
-use grebecleat_membership::answers::Answers;
+use grebecleat_membership::answers::ResponseHealth;
 use grebecleat_membership::drains::{Event as MembershipEvent, NodeObservation};
-use grebecleat_membership::list_reading::ListedState;
+use grebecleat_membership::list_entry::ListedState;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::time::Duration;
 
@@ -172,15 +172,15 @@
 /// Decodes a host's observation of a node.
 fn observation_from_proto(observation: &pb::NodeObservation) -> NodeObservation {
     let listed = match observation.listed() {
-        pb::NodeState::NodeUnknown => ListedState::Never,
+        pb::NodeState::NodeUnknown => ListedState::NeverListed,
         pb::NodeState::Ready => ListedState::Ready,
         pb::NodeState::Draining => ListedState::Draining,
         pb::NodeState::Gone => ListedState::Gone,
     };
     let answers = match observation.answers() {
-        pb::Answering::NotAsked => Answers::None,
-        pb::Answering::Well => Answers::Good,
-        pb::Answering::Badly => Answers::Bad,
+        pb::Answering::NotAsked => ResponseHealth::None,
+        pb::Answering::Well => ResponseHealth::Good,
+        pb::Answering::Badly => ResponseHealth::Bad,
     };
     NodeObservation {
         listed,
--- a/crates/catalog-service/src/snapshot/restore.rs
+++ b/crates/catalog-service/src/snapshot/restore.rs
@@ -55,7 +55,7 @@
         },
         Record::Stable(state.stable),
         Record::EpochForcedAt(state.epoch_forced_at),
-        Record::Ceiling(state.ceiling),
+        Record::VersionCeiling(state.ceiling),
         Record::PastEpoch {
             epoch: state.epoch,
             up_to: state.version,
--- a/crates/catalog-service/src/store/commit.rs
+++ b/crates/catalog-service/src/store/commit.rs
@@ -127,7 +127,7 @@
                 self.placements.add(*volume, *extent, *shard);
                 Ok(())
             }
-            Record::Ceiling(ceiling) => self.batch.put_meta(meta_key::CEILING, *ceiling),
+            Record::VersionCeiling(ceiling) => self.batch.put_meta(meta_key::CEILING, *ceiling),
         }
     }
 
--- a/crates/catalog-service/src/store/record.rs
+++ b/crates/catalog-service/src/store/record.rs
@@ -55,7 +55,7 @@
         shard: u32,
     },
     /// The ceiling: every version number that a write may have used is below it.
-    Ceiling(u64),
+    VersionCeiling(u64),
 }
 
 /// All contents of a store except the placement of extents.
--- a/crates/catalog-service/src/subscription/node_report.rs
+++ b/crates/catalog-service/src/subscription/node_report.rs
@@ -28,13 +28,13 @@
 pub(super) fn node_to_proto(node: &NodeView, hosts: &[pb::HostStatus]) -> pb::NodeReport {
     pb::NodeReport {
         node: node.node,
-        name: node.facts.name.to_string(),
-        zone: node.facts.zone.to_string(),
-        shard: node.facts.shard,
+        name: node.attributes.name.to_string(),
+        zone: node.attributes.zone.to_string(),
+        shard: node.attributes.shard,
         status: node_status_to_proto(node.status).into(),
-        by: node.authority.to_string(),
+        by: node.status_source.to_string(),
         up_us: node.uptime.map(micros),
-        start: node.list_reading.incarnation,
+        start: node.list_entry.incarnation,
         drain: node
             .drain
             .as_ref()
--- a/crates/catalog-service/tests/snapshots.rs
+++ b/crates/catalog-service/tests/snapshots.rs
@@ -115,7 +115,7 @@
             epoch: Epoch(4),
             up_to: Version(1),
         },
-        Record::Ceiling(99),
+        Record::VersionCeiling(99),
     ];
     for changes in revisions {
         batch.push(Record::Revision(next_revision(&mut catalog, changes)));
@@ -157,7 +157,7 @@
     assert_eq!(runs(&read.extents), runs(&all.extents));
     // A record that is stored after the snapshot remains only in the former store.
     let (mut store, ..) = Store::open(&path, 100).unwrap();
-    store.commit(&[Record::Ceiling(1000)]).unwrap();
+    store.commit(&[Record::VersionCeiling(1000)]).unwrap();
     drop(store);
     let moved_to = snapshot::restore(&snapshot_path, &path, Epoch(6))
         .unwrap()
--- a/crates/catalog/src/admission.rs
+++ b/crates/catalog/src/admission.rs
@@ -28,7 +28,7 @@
 //! Outages are evaluated one by one, beginning with those that share nodes with the changed
 //! subjects. The caller limits their number, and the verdict states how many were not evaluated.
 
-mod losses;
+mod outages;
 mod reasons;
 mod site;
 
@@ -37,9 +37,9 @@
 use crate::catalog::Catalog;
 use crate::change::Change;
 use crate::incremental_flow::Shortfall;
-use crate::planner::{check, Out, Site};
+use crate::planner::{check, Outage, Site};
 use crate::records::{Drain, Name, Stage};
-use losses::OutageTable;
+use outages::OutageTable;
 use site::SiteModel;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Admission {
     site: SiteModel,
-    losses: OutageTable,
+    outages: OutageTable,
     /// Nodes that hosts report as unavailable.
     unavailable: BTreeMap<u32, ExclusionReason>,
 }
@@ -89,20 +89,20 @@
     }
 
     /// Number of node and zone outages that can be evaluated.
-    pub fn losses(&self) -> usize {
-        self.losses.count()
+    pub fn outages(&self) -> usize {
+        self.outages.count()
     }
 
     /// Recomputes at most `steps` stale outages, and returns how many remain stale. Meant to be called
     /// while the leader is idle.
     pub fn refresh(&mut self, steps: usize) -> usize {
-        self.losses.refresh(&mut self.site, steps)
+        self.outages.refresh(&mut self.site, steps)
     }
 
     /// Evaluates changes that were already applied to the catalog `after`, with at most `steps` outages.
     pub fn land(&mut self, after: &Catalog, changes: &[Change], steps: usize) -> AdmissionVerdict {
         let before = self.site.shortfall();
-        self.losses.save();
+        self.outages.save();
         let mut changed_nodes = self.site.affected_nodes(after, changes);
         let drained = self.newly_drained(changes, Drain::holds);
         let queued = self.newly_drained(changes, |drain| !drain.holds());
@@ -146,12 +146,12 @@
     /// Reverts the last [`Admission::land`], after the catalog has reverted its changes.
     pub fn undo(&mut self, catalog: &Catalog, changes: &[Change]) {
         self.apply(catalog, changes);
-        self.losses.undo();
+        self.outages.undo();
     }
 
     fn apply(&mut self, catalog: &Catalog, changes: &[Change]) {
         self.site.apply(catalog, changes);
-        self.losses.list(&self.site);
+        self.outages.list(&self.site);
     }
 
     /// Nodes whose drains match `predicate`, and that were not being drained before the changes.
@@ -235,7 +235,7 @@
         let mut objections = Vec::new();
         if present.short > before.short + slack {
             let out: BTreeSet<u32> = self.drains().union(queued).copied().collect();
-            objections.push(Reason::Short {
+            objections.push(Reason::Unmet {
                 by: present.short,
                 volumes: check(&self.site(after), &out).short,
             });
@@ -256,7 +256,7 @@
     ) -> Option<Reason> {
         let present = self.site.shortfall_without(&removed);
         let is_worse = present.exceeds(before, self.site.slack());
-        is_worse.then(|| Reason::Meanwhile {
+        is_worse.then(|| Reason::UnmetWithRemovedNodes {
             gone: removed.into_iter().collect(),
             by: present.short + present.out_of_reach,
         })
@@ -270,19 +270,19 @@
         verdict: &mut AdmissionVerdict,
     ) {
         let slack = self.site.slack();
-        let order = self.losses.by_relevance(changed_nodes);
-        verdict.unexamined_losses = order.len().saturating_sub(steps);
+        let order = self.outages.by_relevance(changed_nodes);
+        verdict.unevaluated_outages = order.len().saturating_sub(steps);
         for out in order.into_iter().take(steps) {
-            let before = self.losses.former_shortfall(out);
-            let shortfall = self.losses.examine(&mut self.site, out);
+            let before = self.outages.former_shortfall(out);
+            let shortfall = self.outages.examine(&mut self.site, out);
             if !shortfall.exceeds(&before, slack) {
                 continue;
             }
             let zone = match out {
-                Out::Zone(zone) => self.site.zone_name(zone).cloned(),
-                Out::Nothing | Out::Node(_) => None,
+                Outage::Zone(zone) => self.site.zone_name(zone).cloned(),
+                Outage::Nothing | Outage::Node(_) => None,
             };
-            verdict.warnings.push(Reason::Without {
+            verdict.warnings.push(Reason::UnmetDuringOutage {
                 out,
                 zone,
                 by: shortfall.short,
--- a/crates/catalog/src/admission/losses.rs
+++ b/crates/catalog/src/admission/outages.rs
@@ -9,7 +9,7 @@
 
 use super::site::SiteModel;
 use crate::incremental_flow::Shortfall;
-use crate::planner::{Node, Out};
+use crate::planner::{Node, Outage};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An outage: the nodes that are out, and the reservations that could not be met without them.
@@ -24,37 +24,37 @@
 /// The outages of a site. See the module documentation.
 #[derive(Debug, Clone, Default)]
 pub(super) struct OutageTable {
-    losses: BTreeMap<Out, OutageEntry>,
+    outages: BTreeMap<Outage, OutageEntry>,
     /// The outages before the last changes.
-    former: BTreeMap<Out, OutageEntry>,
+    former: BTreeMap<Outage, OutageEntry>,
 }
 
 impl OutageTable {
     /// Number of outages.
     pub fn count(&self) -> usize {
-        self.losses.len()
+        self.outages.len()
     }
 
     /// Saves the current values, for [`OutageTable::former_shortfall`] and [`OutageTable::undo`].
     pub fn save(&mut self) {
-        self.former = self.losses.clone();
+        self.former = self.outages.clone();
     }
 
     /// Restores the saved values.
     pub fn undo(&mut self) {
-        self.losses = std::mem::take(&mut self.former);
+        self.outages = std::mem::take(&mut self.former);
     }
 
     /// The saved shortfall of an outage, or zero if the outage is new.
-    pub fn former_shortfall(&self, out: Out) -> Shortfall {
+    pub fn former_shortfall(&self, out: Outage) -> Shortfall {
         let former = self.former.get(&out);
         former.map_or(Shortfall::default(), |loss| loss.shortfall)
     }
 
     /// Recomputes at most `steps` stale outages, and returns how many remain stale.
     pub fn refresh(&mut self, site: &mut SiteModel, steps: usize) -> usize {
-        let stale: Vec<Out> = self
-            .losses
+        let stale: Vec<Outage> = self
+            .outages
             .iter()
             .filter(|(_, loss)| !loss.is_fresh)
             .map(|(out, _)| *out)
@@ -66,9 +66,9 @@
     }
 
     /// Computes the shortfall during an outage. Data on the nodes that are out is not counted.
-    pub fn examine(&mut self, site: &mut SiteModel, out: Out) -> Shortfall {
+    pub fn examine(&mut self, site: &mut SiteModel, out: Outage) -> Shortfall {
         let loss = self
-            .losses
+            .outages
             .get_mut(&out)
             .expect("the outage is in the table");
         loss.shortfall = Shortfall {
@@ -81,9 +81,9 @@
 
     /// Outages in the order in which to evaluate them: first those that share nodes with the changed
     /// nodes.
-    pub fn by_relevance(&self, changed_nodes: &BTreeSet<u32>) -> Vec<Out> {
-        let mut order: Vec<(bool, Out)> = self
-            .losses
+    pub fn by_relevance(&self, changed_nodes: &BTreeSet<u32>) -> Vec<Outage> {
+        let mut order: Vec<(bool, Outage)> = self
+            .outages
             .iter()
             .map(|(out, loss)| (loss.nodes.is_disjoint(changed_nodes), *out))
             .collect();
@@ -94,17 +94,18 @@
     /// Rebuilds the list of outages from the current site. Known values are kept and marked stale.
     pub fn list(&mut self, site: &SiteModel) {
         let serves = |node: &&Node| !site.draining().contains(&node.id) && node.capacity > 0.0;
-        let mut nodes_by_outage: BTreeMap<Out, BTreeSet<u32>> = BTreeMap::new();
+        let mut nodes_by_outage: BTreeMap<Outage, BTreeSet<u32>> = BTreeMap::new();
         let mut serving = 0;
         for node in site.nodes().filter(serves) {
             serving += 1;
-            for out in [Out::Node(node.id), Out::Zone(node.zone)] {
+            for out in [Outage::Node(node.id), Outage::Zone(node.zone)] {
                 nodes_by_outage.entry(out).or_default().insert(node.id);
             }
         }
         // If one zone has all serving nodes, nothing can be guaranteed during its outage.
-        nodes_by_outage.retain(|out, nodes| !matches!(out, Out::Zone(_)) || nodes.len() < serving);
-        let known = std::mem::take(&mut self.losses);
+        nodes_by_outage
+            .retain(|out, nodes| !matches!(out, Outage::Zone(_)) || nodes.len() < serving);
+        let known = std::mem::take(&mut self.outages);
         for (out, nodes) in nodes_by_outage {
             let shortfall = known
                 .get(&out)
@@ -114,7 +115,7 @@
                 shortfall,
                 is_fresh: false,
             };
-            self.losses.insert(out, loss);
+            self.outages.insert(out, loss);
         }
     }
 }
--- a/crates/catalog/src/admission/reasons.rs
+++ b/crates/catalog/src/admission/reasons.rs
@@ -3,7 +3,7 @@
 //! [`crate::admission`] creates them. The membership crate also uses [`ExclusionReason`], for the
 //! nodes of one zone. This module holds no state.
 
-use crate::planner::Out;
+use crate::planner::Outage;
 use crate::records::Name;
 use std::fmt;
 
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reason {
     /// Reservations that cannot be met.
-    Short {
+    Unmet {
         /// The sum of the unmet amounts.
         by: f64,
         /// The volumes whose reservations cannot be met, each with the unmet amount, in order of
@@ -28,9 +28,9 @@
         by: f64,
     },
     /// Reservations that could not be met during an outage of a node or a zone.
-    Without {
+    UnmetDuringOutage {
         /// The node or zone that is out.
-        out: Out,
+        out: Outage,
         /// The zone's name for the outage of a zone, otherwise `None`.
         zone: Option<Name>,
         /// The sum of the unmet amounts.
@@ -46,7 +46,7 @@
         unavailable_nodes: Vec<(u32, ExclusionReason)>,
     },
     /// Reservations that cannot be met because nodes of other zones are removed as well.
-    Meanwhile {
+    UnmetWithRemovedNodes {
         /// The removed nodes of other zones.
         gone: Vec<u32>,
         /// The sum of the unmet amounts.
@@ -106,13 +106,13 @@
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reason::Short { by, volumes } => write_short(f, *by, volumes),
+            Reason::Unmet { by, volumes } => write_short(f, *by, volumes),
             Reason::OutOfReach { by } => {
                 write!(f, "{by:.1} units a second of reserves lie out of reach")
             }
-            Reason::Without { out, zone, by } => {
+            Reason::UnmetDuringOutage { out, zone, by } => {
                 let what = match (out, zone) {
-                    (Out::Node(id), _) => format!("node {id}"),
+                    (Outage::Node(id), _) => format!("node {id}"),
                     (_, Some(zone)) => format!("zone {zone}"),
                     _ => "a part".into(),
                 };
@@ -136,7 +136,7 @@
                     "node {node} must not drain while in zone {zone} {others}"
                 )
             }
-            Reason::Meanwhile { gone, by } => write_meanwhile(f, gone, *by),
+            Reason::UnmetWithRemovedNodes { gone, by } => write_meanwhile(f, gone, *by),
             Reason::NotDrained { node } => write!(
                 f,
                 "what was sent to node {node} may still be under way; \
@@ -179,7 +179,7 @@
     /// Warnings, which are reported to the author and do not prevent the change.
     pub warnings: Vec<Reason>,
     /// Number of outages that were not evaluated, because that would have taken too long.
-    pub unexamined_losses: usize,
+    pub unevaluated_outages: usize,
     /// Whether no node's capacity is configured, so that reservations could not be evaluated.
     pub capacity_unknown: bool,
 }
--- a/crates/catalog/src/audit_log.rs
+++ b/crates/catalog/src/audit_log.rs
@@ -32,7 +32,7 @@
     }
 
     /// Retains all revisions after that version from now on.
-    pub fn need(&mut self, after: Version) {
+    pub fn retain_after(&mut self, after: Version) {
         self.needed_after = after;
     }
 
--- a/crates/catalog/src/catalog.rs
+++ b/crates/catalog/src/catalog.rs
@@ -46,8 +46,8 @@
     }
 
     /// Makes the audit log retain all revisions after that version from now on.
-    pub fn need(&mut self, after: Version) {
-        self.audit_log.need(after);
+    pub fn retain_after(&mut self, after: Version) {
+        self.audit_log.retain_after(after);
     }
 
     /// Adds a stored state to an empty catalog: the version, the complete state, and the last
--- a/crates/catalog/src/feed/follower_lease.rs
+++ b/crates/catalog/src/feed/follower_lease.rs
@@ -29,7 +29,13 @@
 
     /// Applies the response to a poll that was sent at `sent`, by this host's clock. A response with
     /// an older version than the host has is ignored together with its lease.
-    pub fn granted(&mut self, sent: Duration, version: Version, stable: Version, lease: Duration) {
+    pub fn apply_grant(
+        &mut self,
+        sent: Duration,
+        version: Version,
+        stable: Version,
+        lease: Duration,
+    ) {
         if version < self.applied {
             return;
         }
--- a/crates/catalog/src/feed/quota.rs
+++ b/crates/catalog/src/feed/quota.rs
@@ -12,12 +12,12 @@
     /// Number of hosts through which the volume is served.
     pub hosts: usize,
     /// Whether the volume is served through this host.
-    pub mine: bool,
+    pub served_here: bool,
 }
 
 impl LimitTerms {
     fn quota(&self, leased: bool) -> Quota {
-        let fraction = if self.mine {
+        let fraction = if self.served_here {
             1.0 / self.hosts.max(1) as f64
         } else {
             0.0
--- a/crates/catalog/src/follower.rs
+++ b/crates/catalog/src/follower.rs
@@ -221,7 +221,7 @@
     /// Starts the lease that came with an applied update, and drops the revisions that are now stable.
     fn follow(&mut self, poll: PendingPoll, version: Version, stable: Version, lease: Duration) {
         self.follower_lease
-            .granted(poll.sent, version, stable, lease);
+            .apply_grant(poll.sent, version, stable, lease);
         for revision in self.catalog.forget(self.follower_lease.stable) {
             self.announcements.mark_revision(&self.catalog, &revision);
         }
@@ -294,6 +294,6 @@
     }
 
     fn log_line(&mut self, text: String) {
-        self.actions.push(Action::Note { text });
+        self.actions.push(Action::Log { text });
     }
 }
--- a/crates/catalog/src/follower/messages.rs
+++ b/crates/catalog/src/follower/messages.rs
@@ -94,7 +94,7 @@
     /// Number of hosts through which the volume is served.
     pub hosts: usize,
     /// Whether the volume is served through this host.
-    pub mine: bool,
+    pub served_here: bool,
     /// This host's part of the limit, or `None` if the volume has no limit.
     pub quota: Option<Quota>,
 }
@@ -141,7 +141,7 @@
         terms: Option<Terms>,
     },
     /// Write a line to the log.
-    Note {
+    Log {
         /// The line.
         text: String,
     },
--- a/crates/catalog/src/follower/terms.rs
+++ b/crates/catalog/src/follower/terms.rs
@@ -43,7 +43,7 @@
             limit: plan.limit,
             burst: plan.burst,
             hosts: volume.hosts.len(),
-            mine: volume.hosts.contains(self.host),
+            served_here: volume.hosts.contains(self.host),
         })
     }
 }
@@ -55,7 +55,7 @@
     Some(Terms {
         plan: volume.plan.clone(),
         hosts: volume.hosts.len(),
-        mine: volume.hosts.contains(host),
+        served_here: volume.hosts.contains(host),
         quota: quota(limit_terms_window(catalog, host, id), leased),
     })
 }
--- a/crates/catalog/src/leader.rs
+++ b/crates/catalog/src/leader.rs
@@ -36,7 +36,7 @@
 mod rejection;
 mod scheduled;
 
-pub use host_view::{for_host, is_for};
+pub use host_view::{filter_for_host, is_needed_by};
 pub use messages::{Action, CallId, Epoch, Event, Grant, InitialState, Persist, Proposal};
 pub use rejection::MAX_PENDING_COMMITS;
 
@@ -310,6 +310,6 @@
     }
 
     fn log_line(&mut self, text: String) {
-        self.actions.push(Action::Note { text });
+        self.actions.push(Action::Log { text });
     }
 }
--- a/crates/catalog/src/leader/catalog_writer.rs
+++ b/crates/catalog/src/leader/catalog_writer.rs
@@ -66,7 +66,7 @@
 impl CatalogWriter {
     /// `stable` is the persisted stable version. See [`crate::planner::Site`] for `spread`.
     pub fn new(mut catalog: Catalog, stable: Version, spread: f64) -> Self {
-        catalog.need(stable);
+        catalog.retain_after(stable);
         CatalogWriter {
             admission: Admission::open(&catalog, spread),
             limit_reductions: limit_reductions_of(&catalog),
@@ -177,7 +177,7 @@
     /// Drops data that is no longer needed once `stable` is persisted as the stable version.
     pub fn set_stable(&mut self, stable: Version) {
         self.limit_reductions.forget(stable);
-        self.catalog.need(stable);
+        self.catalog.retain_after(stable);
     }
 
     /// Rebuilds the limit reductions from the audit log after revisions were reverted. `stable` is the
@@ -203,8 +203,8 @@
         let verdict = self
             .admission
             .land(&self.catalog, &revision.changes, self.remaining_budget);
-        let all_outages = self.admission.losses();
-        let examined = all_outages - verdict.unexamined_losses.min(all_outages);
+        let all_outages = self.admission.outages();
+        let examined = all_outages - verdict.unevaluated_outages.min(all_outages);
         self.remaining_budget = self.remaining_budget.saturating_sub(examined.max(1));
         verdict
     }
--- a/crates/catalog/src/leader/host_view.rs
+++ b/crates/catalog/src/leader/host_view.rs
@@ -11,16 +11,21 @@
 /// served through the host, and changes that hosts do not need at all. For a volume that is newly
 /// served through the host, it adds the state before each revision after `stable`, because the host
 /// must take the limits of all these states into account.
-pub fn for_host(catalog: &Catalog, stable: Version, revision: &Revision, host: &Name) -> Revision {
+pub fn filter_for_host(
+    catalog: &Catalog,
+    stable: Version,
+    revision: &Revision,
+    host: &Name,
+) -> Revision {
     let known_before: BTreeSet<Subject> = revision
         .before
         .iter()
-        .filter(|change| !change.is_removal() && is_for(change, host))
+        .filter(|change| !change.is_removal() && is_needed_by(change, host))
         .map(Change::subject)
         .collect();
     let is_needed = |change: &&Change| match change {
         Change::Volume { to: None, .. } => known_before.contains(&change.subject()),
-        change => is_for(change, host) || known_before.contains(&change.subject()),
+        change => is_needed_by(change, host) || known_before.contains(&change.subject()),
     };
     let changes: Vec<Change> = revision.changes.iter().filter(is_needed).cloned().collect();
     let new_volumes: BTreeSet<Subject> = changes
@@ -71,7 +76,7 @@
 }
 
 /// Returns whether a host needs this part of the state.
-pub fn is_for(change: &Change, host: &Name) -> bool {
+pub fn is_needed_by(change: &Change, host: &Name) -> bool {
     match change {
         Change::Volume {
             to: Some(volume), ..
--- a/crates/catalog/src/leader/messages.rs
+++ b/crates/catalog/src/leader/messages.rs
@@ -208,7 +208,7 @@
         verdict: AdmissionVerdict,
     },
     /// Write a line to the log.
-    Note {
+    Log {
         /// The line.
         text: String,
     },
--- a/crates/catalog/src/planner.rs
+++ b/crates/catalog/src/planner.rs
@@ -85,7 +85,7 @@
 
 /// An outage for which the reservations are checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Out {
+pub enum Outage {
     /// No node is out.
     Nothing,
     /// One node is out, by its number.
@@ -120,11 +120,11 @@
 }
 
 /// Computes the feasibility without an outage, for an outage of each node, and of each zone.
-pub fn survey(site: &Site) -> Vec<(Out, Feasibility)> {
+pub fn check_all_outages(site: &Site) -> Vec<(Outage, Feasibility)> {
     let zones: BTreeSet<u32> = site.nodes.iter().map(|node| node.zone).collect();
-    let mut cases = vec![Out::Nothing];
-    cases.extend(site.nodes.iter().map(|node| Out::Node(node.id)));
-    cases.extend(zones.into_iter().map(Out::Zone));
+    let mut cases = vec![Outage::Nothing];
+    cases.extend(site.nodes.iter().map(|node| Outage::Node(node.id)));
+    cases.extend(zones.into_iter().map(Outage::Zone));
     cases
         .into_iter()
         .map(|out| (out, check(site, &nodes_out(site, out))))
@@ -132,11 +132,11 @@
 }
 
 /// Numbers of the nodes that are out in an outage.
-pub fn nodes_out(site: &Site, out: Out) -> BTreeSet<u32> {
+pub fn nodes_out(site: &Site, out: Outage) -> BTreeSet<u32> {
     let is_out = |node: &&Node| match out {
-        Out::Nothing => false,
-        Out::Node(id) => node.id == id,
-        Out::Zone(zone) => node.zone == zone,
+        Outage::Nothing => false,
+        Outage::Node(id) => node.id == id,
+        Outage::Zone(zone) => node.zone == zone,
     };
     site.nodes
         .iter()
--- a/crates/catalog/tests/admission.rs
+++ b/crates/catalog/tests/admission.rs
@@ -9,7 +9,7 @@
 use grebecleat_catalog::admission::{Admission, AdmissionVerdict, ExclusionReason, Reason};
 use grebecleat_catalog::catalog::*;
 use grebecleat_catalog::change::*;
-use grebecleat_catalog::planner::{check, Out};
+use grebecleat_catalog::planner::{check, Outage};
 use grebecleat_catalog::records::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -138,7 +138,7 @@
             .chain(found.warnings.iter().map(|r| format!("warning: {r}")))
             .collect();
         assert_eq!(texts, expected, "{case}");
-        assert!(!found.capacity_unknown && found.unexamined_losses == 0);
+        assert!(!found.capacity_unknown && found.unevaluated_outages == 0);
         assert_eq!(
             admission.shortfall(),
             before,
@@ -274,7 +274,7 @@
         vec![stage(1, Stage::Draining)],
     );
     assert!(!found.objections.is_empty(), "{found:?}");
-    let text = Reason::Meanwhile {
+    let text = Reason::UnmetWithRemovedNodes {
         gone: vec![3],
         by: 40.0,
     }
@@ -313,7 +313,7 @@
     let larger_shortfall =
         evaluate_and_revert(&mut catalog, &mut admission, vec![volume(8, "basic", &[1])]);
     assert!(
-        matches!(larger_shortfall.objections[..], [Reason::Short { .. }]),
+        matches!(larger_shortfall.objections[..], [Reason::Unmet { .. }]),
         "{larger_shortfall:?}"
     );
     // The shortfall after a committed change is what later changes are compared with.
@@ -348,8 +348,8 @@
     let is_zone_loss = |r: &Reason| {
         matches!(
             r,
-            Reason::Without {
-                out: Out::Zone(_),
+            Reason::UnmetDuringOutage {
+                out: Outage::Zone(_),
                 ..
             }
         )
@@ -357,7 +357,7 @@
     // The limit of 5 leaves one loss unexamined: that of node 1, which has no data of the changed volumes
     // and so comes last. Its loss would give a warning too.
     assert!(
-        found.unexamined_losses == 1
+        found.unevaluated_outages == 1
             && found.warnings.len() == 2
             && found.warnings.iter().all(is_zone_loss),
         "{found:?}"
--- a/crates/catalog/tests/feed.rs
+++ b/crates/catalog/tests/feed.rs
@@ -40,14 +40,14 @@
             limit,
             burst: limit,
             hosts,
-            mine: self.hosts[host],
+            served_here: self.hosts[host],
         }
     }
 
     fn lowers_limits(&self, before: &VolumeTerms) -> bool {
         let floor = |volume: &VolumeTerms, host: usize| {
             let terms = volume.limit_terms(host);
-            match (terms.limit > 0.0, terms.mine) {
+            match (terms.limit > 0.0, terms.served_here) {
                 (false, _) => f64::INFINITY,
                 (true, true) => terms.reservation / terms.hosts as f64,
                 (true, false) => 0.0,
@@ -346,7 +346,7 @@
             host.follower_lease = FollowerLease::default();
         }
         host.follower_lease
-            .granted(ticks(from), version, stable, ticks(LEASE));
+            .apply_grant(ticks(from), version, stable, ticks(LEASE));
     }
 
     /// The sum of both hosts' quotas, and the limit in force.
--- a/crates/catalog/tests/fleet/disk.rs
+++ b/crates/catalog/tests/fleet/disk.rs
@@ -39,7 +39,7 @@
                 .expect("the revision has the next version"),
             leader::Persist::Stable(v) => {
                 self.start.stable = v;
-                self.start.catalog.need(v);
+                self.start.catalog.retain_after(v);
             }
             leader::Persist::Applied(host, v) => _ = self.start.applied.insert(host, v),
             leader::Persist::EpochForced(e) => {
--- a/crates/catalog/tests/fleet/limits.rs
+++ b/crates/catalog/tests/fleet/limits.rs
@@ -28,7 +28,7 @@
                 .hosts
                 .iter()
                 .filter_map(|host| host.terms.get(&id))
-                .filter(|terms| terms.mine);
+                .filter(|terms| terms.served_here);
             let quotas: Vec<_> = quotas.map(|terms| terms.quota).collect();
             let rate: f64 = quotas
                 .iter()
--- a/crates/catalog/tests/fleet/main.rs
+++ b/crates/catalog/tests/fleet/main.rs
@@ -17,7 +17,9 @@
 use grebecleat_catalog::change::*;
 use grebecleat_catalog::feed::HostNumber;
 use grebecleat_catalog::follower::{self, Follower, Update};
-use grebecleat_catalog::leader::{self, for_host, is_for, CallId, Epoch, Leader, Proposal};
+use grebecleat_catalog::leader::{
+    self, filter_for_host, is_needed_by, CallId, Epoch, Leader, Proposal,
+};
 use grebecleat_catalog::records::*;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -204,7 +206,7 @@
                 .catalog()
                 .volume(id)
                 .filter(|v| v.hosts.contains(&Name::from(HOSTS[i])));
-            let terms = host.terms.get(&id).filter(|t| t.mine);
+            let terms = host.terms.get(&id).filter(|t| t.served_here);
             assert_eq!(
                 terms.map(|t| &t.plan),
                 volume.map(|v| &v.plan),
--- a/crates/catalog/tests/fleet/steps.rs
+++ b/crates/catalog/tests/fleet/steps.rs
@@ -22,12 +22,12 @@
                         .expect("the audit log holds all revisions after the granted version")
                         .filter(|e| e.version <= grant.to);
                     let revisions = revisions
-                        .map(|e| for_host(catalog, grant.stable, e, &name))
+                        .map(|e| filter_for_host(catalog, grant.stable, e, &name))
                         .collect();
                     let state = || {
                         catalog
                             .state_at(grant.from)
-                            .filter(|c| is_for(c, &name))
+                            .filter(|c| is_needed_by(c, &name))
                             .collect()
                     };
                     let update = match grant.snapshot {
@@ -71,7 +71,7 @@
                         self.send(Message::Response { host, event });
                     }
                 }
-                leader::Action::Preview { .. } | leader::Action::Note { .. } => {}
+                leader::Action::Preview { .. } | leader::Action::Log { .. } => {}
             }
         }
     }
@@ -121,7 +121,7 @@
                     _ = self.hosts[i].terms.insert(id, t)
                 }
                 follower::Action::Volume { id, terms: None } => _ = self.hosts[i].terms.remove(&id),
-                follower::Action::Plan { .. } | follower::Action::Note { .. } => {}
+                follower::Action::Plan { .. } | follower::Action::Log { .. } => {}
             }
         }
     }
--- a/crates/catalog/tests/follower.rs
+++ b/crates/catalog/tests/follower.rs
@@ -7,7 +7,7 @@
 use grebecleat_catalog::change::*;
 use grebecleat_catalog::feed::Quota;
 use grebecleat_catalog::follower::*;
-use grebecleat_catalog::leader::{for_host, CallId, Epoch};
+use grebecleat_catalog::leader::{filter_for_host, CallId, Epoch};
 use grebecleat_catalog::records::*;
 use std::time::Duration;
 
@@ -78,7 +78,7 @@
                 Action::Persist(request) => self.persist_requests.push(request),
                 Action::Volume { id, terms } => self.announced_terms.push((id, terms)),
                 Action::Plan { .. } => {}
-                Action::Note { text } => self.notes.push(text),
+                Action::Log { text } => self.notes.push(text),
             }
         }
     }
@@ -95,7 +95,7 @@
             .since(applied)
             .expect("the audit log holds all revisions");
         let revisions = revisions
-            .map(|e| for_host(&self.leader, stable, e, &host_name))
+            .map(|e| filter_for_host(&self.leader, stable, e, &host_name))
             .collect();
         let (version, lease, update) = (
             self.leader.version(),
--- a/crates/catalog/tests/leader/rig.rs
+++ b/crates/catalog/tests/leader/rig.rs
@@ -149,7 +149,7 @@
                     .trim_end()
                     .to_string()
             }
-            Action::Note { text } => text,
+            Action::Log { text } => text,
             Action::Persist { .. } => unreachable!("`step` moves writes to `pending_writes`"),
         };
         std::mem::take(&mut self.actions)
--- a/crates/catalog/tests/planner.rs
+++ b/crates/catalog/tests/planner.rs
@@ -225,7 +225,7 @@
         volumes: vec![volume(1, &[1, 3]), volume(2, &[2, 3]), volume(3, &[3])],
         spread: 1.0,
     };
-    let found: Vec<(Out, f64, f64, bool)> = survey(&site)
+    let found: Vec<(Outage, f64, f64, bool)> = check_all_outages(&site)
         .into_iter()
         .map(|(out, verdict)| {
             (
@@ -239,12 +239,12 @@
     // At spread 1 each volume loads its nodes in proportion to its extents there, so node 3 gets loads of
     // 40, 40 and 80.
     let expected = [
-        (Out::Nothing, 240.0, 0.0, false),
-        (Out::Node(1), 200.0, 40.0, false),
-        (Out::Node(2), 200.0, 40.0, false),
-        (Out::Node(3), 80.0, 160.0, true),
-        (Out::Zone(1), 160.0, 80.0, false),
-        (Out::Zone(2), 80.0, 160.0, true),
+        (Outage::Nothing, 240.0, 0.0, false),
+        (Outage::Node(1), 200.0, 40.0, false),
+        (Outage::Node(2), 200.0, 40.0, false),
+        (Outage::Node(3), 80.0, 160.0, true),
+        (Outage::Zone(1), 160.0, 80.0, false),
+        (Outage::Zone(2), 80.0, 160.0, true),
     ];
     assert_eq!(found, expected);
     let uneven_spread = Site {
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -9,7 +9,7 @@
     declared_config::deployment, group_commit::GroupCommit, store::StoreContents,
 };
 use grebecleat_host::server as host;
-use grebecleat_iscsi_target::portal::{self, Places};
+use grebecleat_iscsi_target::portal::{self, PersistedState};
 use grebecleat_settings::{PortalSpec, Settings};
 use grebecleat_testbed::net;
 use grebecleat_wire::{clock, pb};
@@ -60,7 +60,7 @@
         }
         print_listening(address);
         info!(host = %name, %address, "up");
-        host::on_signals(handle);
+        host::shut_down_on_signals(handle);
     })?;
     info!(host = %name, ?counts, "drained and ended");
     Ok(())
@@ -181,7 +181,7 @@
     (store, contents): &OpenStore,
 ) {
     for spec in portals {
-        let places = Places {
+        let places = PersistedState {
             keeper: store,
             places: &contents.extents,
             ceiling: contents.state.ceiling,
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -4,10 +4,10 @@
 use crate::args::ScenarioArgs;
 use crate::common::load;
 use crate::exit::{invalid, CommandError};
-use crate::scenario_report::{print_changes, print_clients, print_disks};
+use crate::scenario_report::{print_changes, print_clients, print_iscsi_counts};
 use crate::testbed::fault_kinds;
 use crate::trace_checks;
-use grebecleat_settings::{Kind, Rehearsal, Settings};
+use grebecleat_settings::{FaultKind, Rehearsal, Settings};
 use grebecleat_testbed::scenario::{self, ScenarioResult};
 use grebecleat_trace_checker::Verdict;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -64,7 +64,7 @@
     } else {
         println!("traces and logs: {}", dir.display());
     }
-    print_disks(&result.disks);
+    print_iscsi_counts(&result.iscsi_load);
     println!("{}", verdict.line());
     if passed {
         Ok(())
@@ -77,8 +77,8 @@
 /// response.
 fn passed(result: &ScenarioResult, verdict: &Verdict) -> bool {
     let clients_passed = result.counts.wrong_content == 0 && result.counts.doubled == 0;
-    let disks = &result.disks;
-    let disks_passed = disks.wrong == 0 && disks.missing == 0 && disks.doubled == 0;
+    let iscsi_load = &result.iscsi_load;
+    let disks_passed = iscsi_load.wrong == 0 && iscsi_load.missing == 0 && iscsi_load.doubled == 0;
     trace_checks::passed(verdict) && clients_passed && disks_passed
 }
 
@@ -94,7 +94,7 @@
 }
 
 /// Returns the kinds of faults that override the script's; empty if the script's are to be injected.
-fn kinds(args: &ScenarioArgs) -> Result<Vec<Kind>, CommandError> {
+fn kinds(args: &ScenarioArgs) -> Result<Vec<FaultKind>, CommandError> {
     let kinds = fault_kinds(args.kinds.as_deref())?;
     let Some(journal) = &args.journal else {
         return Ok(kinds);
@@ -102,7 +102,7 @@
     let file = journal.display();
     let text = std::fs::read_to_string(journal)
         .map_err(|error| invalid(format!("--journal: cannot read {file}: {error}")))?;
-    let kinds = Kind::find(&text);
+    let kinds = FaultKind::find(&text);
     if kinds.is_empty() {
         return Err(invalid(format!(
             "--journal: {file} names no kinds of trouble"
@@ -112,7 +112,7 @@
 }
 
 fn print_plan(settings: &Settings, plan: &Rehearsal) {
-    let faults = plan.troubles.iter();
+    let faults = plan.injected_faults.iter();
     let names: Vec<&str> = faults.map(|fault| fault.kind.name()).collect();
     let names = if names.is_empty() {
         "none".into()
--- a/crates/cli/src/scenario_report.rs
+++ b/crates/cli/src/scenario_report.rs
@@ -2,7 +2,7 @@
 
 use grebecleat_settings::Settings;
 use grebecleat_testbed::clients::ClientCounts;
-use grebecleat_testbed::disks::Disks;
+use grebecleat_testbed::iscsi_load::IscsiCounts;
 use grebecleat_testbed::scenario::CatalogChangeResult;
 use std::ops::Range;
 
@@ -22,7 +22,7 @@
         counts.unanswered,
         counts.doubled,
         counts.wrong_content,
-        counts.unreached
+        counts.without_host
     );
     for (plan, (all, timely, late)) in &counts.plans {
         let percent = |count: u64| 100.0 * count as f64 / (*all).max(1) as f64;
@@ -71,23 +71,23 @@
 }
 
 /// Prints the counts of the iSCSI initiators, if they sent any commands.
-pub fn print_disks(disks: &Disks) {
-    if disks.commands == 0 {
+pub fn print_iscsi_counts(iscsi_load: &IscsiCounts) {
+    if iscsi_load.commands == 0 {
         return;
     }
     println!(
         "iscsi: {} good, {} busy, {} of unknown outcome, {} logins, {} aborted and sent again; \
          {} blocks checked, {} wrong",
-        disks.good,
-        disks.busy,
-        disks.unknown,
-        disks.logins,
-        disks.aborted,
-        disks.blocks_checked,
-        disks.wrong
+        iscsi_load.good,
+        iscsi_load.busy,
+        iscsi_load.unknown,
+        iscsi_load.logins,
+        iscsi_load.aborted,
+        iscsi_load.blocks_checked,
+        iscsi_load.wrong
     );
     println!(
         "commands {}, answered {}, missing {}, doubled {}",
-        disks.commands, disks.answered, disks.missing, disks.doubled
+        iscsi_load.commands, iscsi_load.answered, iscsi_load.missing, iscsi_load.doubled
     );
 }
--- a/crates/cli/src/state_service.rs
+++ b/crates/cli/src/state_service.rs
@@ -29,7 +29,7 @@
     let started = |address, handle: service::Handle| {
         print_listening(address);
         info!(%address, "state service up");
-        host::on_signals_do(move || handle.stop());
+        host::call_on_signals(move || handle.stop());
     };
     service::serve(options, started).map_err(could_not_run)?;
     info!("state service ended");
--- a/crates/cli/src/testbed.rs
+++ b/crates/cli/src/testbed.rs
@@ -4,7 +4,7 @@
 use crate::args::{DiscoveryServiceArgs, NodeArgs, ScriptArgs};
 use crate::common::{address, load, print_listening, tracer};
 use crate::exit::{could_not_run, invalid, CommandError};
-use grebecleat_settings::Kind;
+use grebecleat_settings::FaultKind;
 use grebecleat_testbed::{net, scenario, serve};
 use grebecleat_wire::{clock, pb};
 use std::net::TcpListener;
@@ -53,12 +53,12 @@
 }
 
 /// Parses the kinds of faults that `--kinds` names, joined by `+`.
-pub fn fault_kinds(text: Option<&str>) -> Result<Vec<Kind>, CommandError> {
+pub fn fault_kinds(text: Option<&str>) -> Result<Vec<FaultKind>, CommandError> {
     let Some(text) = text else {
         return Ok(Vec::new());
     };
-    Kind::read(text).map_err(|name| {
-        let known: Vec<&str> = Kind::ALL.iter().map(|(name, _)| *name).collect();
+    FaultKind::read(text).map_err(|name| {
+        let known: Vec<&str> = FaultKind::ALL.iter().map(|(name, _)| *name).collect();
         let known = known.join(", ");
         invalid(format!("--kinds: expected some of {known}, found {name}"))
     })
--- a/crates/cli/src/trace_checks.rs
+++ b/crates/cli/src/trace_checks.rs
@@ -31,7 +31,7 @@
 
 /// Returns whether no rule was broken and no command of an initiator failed.
 pub fn passed(verdict: &Verdict) -> bool {
-    verdict.violations.is_empty() && verdict.commands.fine()
+    verdict.violations.is_empty() && verdict.commands.is_correct()
 }
 
 /// Prints the rules that were broken, with the frames that show it, and the counts.
--- a/crates/cli/tests/iscsi.rs
+++ b/crates/cli/tests/iscsi.rs
@@ -210,7 +210,7 @@
         vec![0; 2048],
         "nobody wrote there"
     );
-    assert_eq!(i.strays, 0);
+    assert_eq!(i.unexpected_responses, 0);
 }
 
 #[test]
@@ -243,7 +243,7 @@
                     answered += 1;
                     good += u32::from(answer.status == 0);
                 }
-                assert_eq!((answered, i.strays), (200, 0));
+                assert_eq!((answered, i.unexpected_responses), (200, 0));
                 assert!(good > 100, "{good} of 200 good");
             });
         }
@@ -516,7 +516,7 @@
     write(&mut good, 0, 100, &pattern(4, 40));
     drop(half_open);
     site.initiator(9, false);
-    assert_eq!(good.strays, 0);
+    assert_eq!(good.unexpected_responses, 0);
 }
 
 /// An initiator that stays within its command window may leave all responses unread for a while.
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -12,7 +12,7 @@
 
 use crate::attempts::AttemptHistory;
 use crate::borrowed_leases::Lender;
-use crate::events::{Action, Event, Notice, RejectReason, Rules};
+use crate::events::{Action, CoordinationSettings, Event, Notice, RejectReason};
 use crate::evidence::{Observer, EVIDENCE_WINDOW};
 use crate::gossip_message::{GossipMessage, MAX_ENTRIES, MAX_REPORT_ITEMS};
 use crate::gossip_state::{GossipState, KnownReport, GOSSIP_FANOUT};
@@ -98,7 +98,7 @@
         me: HostNumber,
         incarnation: Incarnation,
         peers: Vec<HostNumber>,
-        rules: Rules,
+        rules: CoordinationSettings,
         seed: u64,
     ) -> Self {
         let hosts = peers.len() + 1;
--- a/crates/coordination/src/events.rs
+++ b/crates/coordination/src/events.rs
@@ -13,7 +13,7 @@
 
 /// The settings of the coordination, which are the same for all hosts of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rules {
+pub struct CoordinationSettings {
     /// The time between two gossip rounds.
     pub interval: Duration,
     /// The terms of quota leases.
@@ -84,7 +84,7 @@
         volume: u64,
         /// The quota that this host may use, as a multiple of its base quota. At 0 the host may serve no
         /// units.
-        times: f64,
+        base_quota_multiple: f64,
     },
     /// Apply a new policy to a node.
     PolicyChanged {
--- a/crates/coordination/src/quotas.rs
+++ b/crates/coordination/src/quotas.rs
@@ -6,7 +6,7 @@
 //! quota.
 
 use crate::borrowed_leases::{Lender, OutgoingLeaseMessage};
-use crate::events::{Action, Rules};
+use crate::events::{Action, CoordinationSettings};
 use crate::gossip_message::{VolumeLeaseMessage, VolumeReceived, MAX_REPORT_ITEMS};
 use crate::host_report::LeaseOffer;
 use crate::lease_message::FULL_LIMIT;
@@ -79,7 +79,7 @@
 #[derive(Debug)]
 pub(crate) struct SharedQuotas {
     me: HostNumber,
-    rules: Rules,
+    rules: CoordinationSettings,
     volumes: BTreeMap<u64, SharedVolume>,
     /// The volumes whose quota may have changed.
     dirty: BTreeSet<u64>,
@@ -89,7 +89,7 @@
 
 impl SharedQuotas {
     /// Returns quotas without any volume.
-    pub fn new(now: Duration, me: HostNumber, rules: Rules) -> Self {
+    pub fn new(now: Duration, me: HostNumber, rules: CoordinationSettings) -> Self {
         SharedQuotas {
             me,
             rules,
@@ -119,7 +119,10 @@
     ) -> Option<Action> {
         if !sharers.contains(&self.me) || sharers.len() < 2 || limit <= 0.0 {
             self.volumes.remove(&volume)?;
-            return Some(Action::QuotaChanged { volume, times: 1.0 });
+            return Some(Action::QuotaChanged {
+                volume,
+                base_quota_multiple: 1.0,
+            });
         }
         self.dirty.insert(volume);
         let terms = self.rules.leases;
@@ -233,8 +236,12 @@
             };
             if shared.applied != Some(applied) {
                 shared.applied = Some(applied);
-                let times = f64::from(applied.quota) / f64::from(applied.base_quota.max(1));
-                changes.push(Action::QuotaChanged { volume, times });
+                let base_quota_multiple =
+                    f64::from(applied.quota) / f64::from(applied.base_quota.max(1));
+                changes.push(Action::QuotaChanged {
+                    volume,
+                    base_quota_multiple,
+                });
             }
         }
         changes
--- a/crates/coordination/tests/simulation/mod.rs
+++ b/crates/coordination/tests/simulation/mod.rs
@@ -3,7 +3,7 @@
 
 use crate::common::ms;
 use grebecleat_coordination::coordinator::Coordinator;
-use grebecleat_coordination::events::{Action, Event, Rules};
+use grebecleat_coordination::events::{Action, CoordinationSettings, Event};
 use grebecleat_coordination::lease_message::LeaseTerms;
 use grebecleat_coordination::outlier_detection::EndpointPolicy;
 use grebecleat_coordination::{HostNumber, Incarnation};
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 pub const TICK: Duration = ms(10);
-pub const RULES: Rules = Rules {
+pub const RULES: CoordinationSettings = CoordinationSettings {
     interval: ms(200),
     leases: LeaseTerms {
         duration: ms(2000),
@@ -279,7 +279,10 @@
         for action in self.coordinator.step(now, events) {
             match action {
                 Action::Send { to, bytes } => messages.push((to, bytes)),
-                Action::QuotaChanged { times, .. } => self.quota = times,
+                Action::QuotaChanged {
+                    base_quota_multiple,
+                    ..
+                } => self.quota = base_quota_multiple,
                 Action::PolicyChanged { node, policy } => {
                     if policy == EndpointPolicy::Avoid {
                         self.avoided.insert(node);
--- a/crates/discovery/src/calls.rs
+++ b/crates/discovery/src/calls.rs
@@ -92,9 +92,9 @@
     /// The call.
     pub call: Call,
     /// When it was sent.
-    pub begun: Duration,
+    pub sent_at: Duration,
     /// When the call becomes overdue. Another call may then begin on another connection.
-    pub answer_by: Duration,
+    pub timeout_at: Duration,
     /// Whether the call continues a watch. Discovery responds to such a call as soon as there is a change, and
     /// holds the call for no other reason.
     pub continues_watch: bool,
@@ -104,14 +104,14 @@
 
 impl OutstandingCall {
     /// Returns when the host stops to wait for the response and closes the connection.
-    pub fn give_up_at(&self) -> Duration {
-        self.answer_by + LATE_RESPONSE_TIMEOUT
+    pub fn close_at(&self) -> Duration {
+        self.timeout_at + LATE_RESPONSE_TIMEOUT
     }
 
     /// Returns how long the call has been queued at discovery, without the time for which discovery may hold it
     /// until there is a change.
     pub fn queueing_time(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.begun)
+        now.saturating_sub(self.sent_at)
             .saturating_sub(self.call.wait())
     }
 
@@ -121,7 +121,7 @@
         let Call::Newer { wait, .. } = self.call else {
             return false;
         };
-        now < self.begun + wait / 2
+        now < self.sent_at + wait / 2
     }
 }
 
@@ -170,7 +170,7 @@
     /// Returns whether the outstanding call is overdue and was not reported before, and marks it as reported.
     pub fn report_overdue(&mut self, now: Duration) -> bool {
         let outstanding = self.outstanding.as_mut();
-        let Some(call) = outstanding.filter(|call| !call.is_reported && now >= call.answer_by)
+        let Some(call) = outstanding.filter(|call| !call.is_reported && now >= call.timeout_at)
         else {
             return false;
         };
@@ -215,8 +215,8 @@
     fn begin(&mut self, now: Duration, call: Call, timeout: Duration) -> Option<Call> {
         self.outstanding = Some(OutstandingCall {
             call,
-            begun: now,
-            answer_by: now + timeout,
+            sent_at: now,
+            timeout_at: now + timeout,
             continues_watch: self.is_watch_open && matches!(call, Call::Newer { .. }),
             is_reported: false,
         });
--- a/crates/discovery/src/client.rs
+++ b/crates/discovery/src/client.rs
@@ -71,7 +71,7 @@
     /// before.
     pub fn wake_at(&self) -> Option<Duration> {
         let deadline = self.poll_deadline.as_ref().and_then(PollDeadline::wake_at);
-        [self.active.answer_by, deadline]
+        [self.active.timeout_at, deadline]
             .into_iter()
             .flatten()
             .min()
@@ -99,7 +99,7 @@
                 self.update_list(EndpointUpdateKind::Cached, &list.endpoints, 0)
             }
             Event::CheckTimeout => {
-                if self.active.answer_by.is_some_and(|by| now >= by) {
+                if self.active.timeout_at.is_some_and(|by| now >= by) {
                     self.active_overdue();
                 }
             }
@@ -131,7 +131,7 @@
                 continue;
             };
             if is_active {
-                self.active.answer_by = None;
+                self.active.timeout_at = None;
                 self.active.has_response = true;
                 if let Some(event) = self.history.responded(self.now) {
                     self.push_action(Action::Log(event));
@@ -210,24 +210,24 @@
     }
 
     fn dial_or_send(&mut self) {
-        let answer_by = self.now + self.call_timeout();
+        let timeout_at = self.now + self.call_timeout();
         match self.active.id {
-            None => self.dial(answer_by),
-            Some(link) if self.active.is_connected => self.send_pending(link, answer_by),
+            None => self.dial(timeout_at),
+            Some(link) if self.active.is_connected => self.send_pending(link, timeout_at),
             Some(_) => {}
         }
     }
 
-    fn dial(&mut self, answer_by: Duration) {
+    fn dial(&mut self, timeout_at: Duration) {
         self.last_link += 1;
         let link = LinkId(self.last_link);
         self.active.id = Some(link);
-        self.active.answer_by = Some(answer_by);
+        self.active.timeout_at = Some(timeout_at);
         self.push_action(Action::Dial { link });
         self.check_poll_deadline(Some(poll_deadline::Event::CallStarted));
     }
 
-    fn send_pending(&mut self, link: LinkId, answer_by: Duration) {
+    fn send_pending(&mut self, link: LinkId, timeout_at: Duration) {
         for request in std::mem::take(&mut self.active.pending) {
             if let Body::Watch(watch) = &request {
                 // If a watch is already open, another call is not needed. The response to the open watch may
@@ -239,12 +239,12 @@
             }
             self.push_action(Action::Send { link, request });
             if self.active.continues_watch {
-                self.active.answer_by = None;
+                self.active.timeout_at = None;
                 continue;
             }
             // Dial and call share one timeout, because separate timeouts would double the time until a failure
             // is detected if both are slow.
-            self.active.answer_by.get_or_insert(answer_by);
+            self.active.timeout_at.get_or_insert(timeout_at);
         }
     }
 
--- a/crates/discovery/src/links.rs
+++ b/crates/discovery/src/links.rs
@@ -21,7 +21,7 @@
     /// Whether a watch is open on the link.
     pub is_watching: bool,
     /// When the call, or the dial, becomes overdue.
-    pub answer_by: Option<Duration>,
+    pub timeout_at: Option<Duration>,
     /// Whether discovery has responded on the link.
     pub has_response: bool,
     /// Whether the first call continues a watch. The transport then applies the timeout of the call.
--- a/crates/discovery/src/poll_deadline.rs
+++ b/crates/discovery/src/poll_deadline.rs
@@ -190,8 +190,10 @@
     fn schedule_call(&mut self, now: Duration) {
         let second = self
             .previous_call
-            .map(|begun| begun + self.second_call_within);
-        let next = self.last_call.map(|begun| begun + self.next_call_within);
+            .map(|sent_at| sent_at + self.second_call_within);
+        let next = self
+            .last_call
+            .map(|sent_at| sent_at + self.next_call_within);
         let latest = [second, next].into_iter().flatten().min();
         let time_left = latest.map_or(Duration::ZERO, |at| at.saturating_sub(now));
         let jitter = time_left.min(MIN_JITTER).mul_f64(self.rng.random());
--- a/crates/host/src/config_follower.rs
+++ b/crates/host/src/config_follower.rs
@@ -128,7 +128,7 @@
     }
 
     /// Returns whether this host follows a state service.
-    pub fn is_on(&self) -> bool {
+    pub fn follows_state_service(&self) -> bool {
         self.follower.is_some()
     }
 
@@ -318,7 +318,7 @@
             Action::Persist(request) => actions.push(self.persist(request)),
             Action::Plan { name, plan } => events.push(self.volumes.plan_changed(name, plan)),
             Action::Volume { id, terms } => events.push(self.volume_changed(VolumeId(id), terms)),
-            Action::Note { text } => actions.push(ConfigAction::Log { text }),
+            Action::Log { text } => actions.push(ConfigAction::Log { text }),
         }
     }
 
@@ -344,7 +344,7 @@
     }
 
     fn volume_changed(&mut self, volume: VolumeId, terms: Option<Terms>) -> Event {
-        if let Some(terms) = terms.filter(|terms| terms.mine) {
+        if let Some(terms) = terms.filter(|terms| terms.served_here) {
             return self.volumes.volume_served(volume, terms);
         }
         let follower = self.follower.as_ref();
--- a/crates/host/src/observations.rs
+++ b/crates/host/src/observations.rs
@@ -8,7 +8,7 @@
 //! node of the endpoint list, and a count for each shard.
 
 use grebecleat_discovery::endpoint_list::KnownEndpoint;
-use grebecleat_membership::answers::{Answers, NodeHealth};
+use grebecleat_membership::answers::{AttemptMeasurements, ResponseHealth};
 use grebecleat_scheduler::api::{NodeId, NodeState};
 use grebecleat_scheduler::scheduler::Scheduler;
 use grebecleat_wire::clock::micros;
@@ -47,12 +47,12 @@
     }
 
     /// Returns how well the node answered according to the last report.
-    pub fn answers(&self, node: u32) -> Answers {
+    pub fn answers(&self, node: u32) -> ResponseHealth {
         let reported = self.reported.get(&node);
         match reported.map(|observation| observation.answers()) {
-            Some(pb::Answering::Well) => Answers::Good,
-            Some(pb::Answering::Badly) => Answers::Bad,
-            _ => Answers::None,
+            Some(pb::Answering::Well) => ResponseHealth::Good,
+            Some(pb::Answering::Badly) => ResponseHealth::Bad,
+            _ => ResponseHealth::None,
         }
     }
 
@@ -63,11 +63,13 @@
         now: Duration,
         node: NodeId,
         known: &KnownEndpoint,
-        health: Option<&NodeHealth>,
+        health: Option<&AttemptMeasurements>,
         drain: Option<DrainProgress>,
     ) -> pb::NodeObservation {
         let before = self.answers(node.0);
-        let answers = health.map_or(Answers::None, |health| Answers::of(*health, before));
+        let answers = health.map_or(ResponseHealth::None, |health| {
+            ResponseHealth::of(*health, before)
+        });
         let uptime = |started: Duration| micros(now.saturating_sub(started));
         let extents = self.extents_by_shard.as_ref();
         let observation = pb::NodeObservation {
@@ -109,11 +111,11 @@
 }
 
 /// Returns the health of each node as the scheduler sees it.
-pub fn node_health(scheduler: &Scheduler, now: Duration) -> BTreeMap<NodeId, NodeHealth> {
+pub fn node_health(scheduler: &Scheduler, now: Duration) -> BTreeMap<NodeId, AttemptMeasurements> {
     let health = scheduler.nodes().map(|node| {
         let succeeded = !node.last_success.is_zero();
         let since_success = now.saturating_sub(node.last_success);
-        let health = NodeHealth {
+        let health = AttemptMeasurements {
             admission_level: node.admission_level,
             consecutive_failures: node.consecutive_failures,
             since_success: succeeded.then_some(since_success),
@@ -142,11 +144,11 @@
     }
 }
 
-fn answers_to_proto(answers: Answers) -> pb::Answering {
+fn answers_to_proto(answers: ResponseHealth) -> pb::Answering {
     match answers {
-        Answers::None => pb::Answering::NotAsked,
-        Answers::Good => pb::Answering::Well,
-        Answers::Bad => pb::Answering::Badly,
+        ResponseHealth::None => pb::Answering::NotAsked,
+        ResponseHealth::Good => pb::Answering::Well,
+        ResponseHealth::Bad => pb::Answering::Badly,
     }
 }
 
--- a/crates/host/src/outbox.rs
+++ b/crates/host/src/outbox.rs
@@ -146,12 +146,12 @@
         now: Duration,
         deadline: Duration,
     ) {
-        self.put_attempt_of(attempt, frame, now, deadline, None);
+        self.put_client_attempt(attempt, frame, now, deadline, None);
     }
 
     /// Adds an attempt, which is written neither from `deadline` on, nor once its client has
     /// cancelled the request. `client` is the outbox of the client's connection.
-    pub fn put_attempt_of(
+    pub fn put_client_attempt(
         &self,
         attempt: AttemptId,
         frame: pb::Frame,
@@ -188,7 +188,7 @@
 
     /// Forgets a cancellation that the owner has handled. From then on the owner itself revokes the
     /// request's attempts.
-    pub fn cancel_handled(&self, id: &Bytes) {
+    pub fn forget_cancellation(&self, id: &Bytes) {
         self.lock().cancelled.remove(id);
     }
 
--- a/crates/host/src/outbox/tests.rs
+++ b/crates/host/src/outbox/tests.rs
@@ -84,7 +84,7 @@
             sent_us: 0,
             body: Some(Body::Attempt(body)),
         };
-        outbox.put_attempt_of(AttemptId(1), attempt, ms(1), ms(100), Some(client.clone()));
+        outbox.put_client_attempt(AttemptId(1), attempt, ms(1), ms(100), Some(client.clone()));
         act(&client);
         assert_eq!(
             attempts_of(&outbox.take_batch(|| ms(2), 1000)).len(),
@@ -96,7 +96,7 @@
             !written,
             "{case}: it never ran"
         );
-        client.cancel_handled(&id);
+        client.forget_cancellation(&id);
         assert!(client.lock().cancelled.len() <= 1, "{case}");
     }
 }
--- a/crates/host/src/process_pause.rs
+++ b/crates/host/src/process_pause.rs
@@ -43,7 +43,7 @@
     /// assert_eq!(ms(1220) - ms(100) - pauses.within(ms(100), ms(1220)), ms(120));
     /// assert_eq!(pauses.within(ms(1300), ms(1400)), ms(0));
     /// ```
-    pub fn woke(&mut self, due: Duration, now: Duration) -> bool {
+    pub fn record_wake(&mut self, due: Duration, now: Duration) -> bool {
         if now <= due.saturating_add(MIN_PAUSE) {
             return false;
         }
--- a/crates/host/src/quota_sharing.rs
+++ b/crates/host/src/quota_sharing.rs
@@ -11,7 +11,7 @@
 
 use crate::log_event::LogEvent;
 use grebecleat_coordination::coordinator::{Coordinator, NodePolicy};
-use grebecleat_coordination::events::{self, Action, Rules};
+use grebecleat_coordination::events::{self, Action, CoordinationSettings};
 use grebecleat_coordination::lease_message::LeaseTerms;
 use grebecleat_coordination::outlier_detection::EndpointPolicy;
 use grebecleat_coordination::{HostNumber, Incarnation};
@@ -42,7 +42,7 @@
     terms: VolumeTerms,
     /// This host's quota as a multiple of the equal quota. It is above 1 when other hosts have leased
     /// quota to this one.
-    times: f64,
+    base_quota_multiple: f64,
 }
 
 /// Takes part in the coordination among hosts for this host.
@@ -56,13 +56,13 @@
     avoided: BTreeSet<NodeId>,
 }
 
-/// Returns the terms with their rate multiplied by `times`. The burst stays, but becomes 0 for a host
+/// Returns the terms with their rate multiplied by `base_quota_multiple`. The burst stays, but becomes 0 for a host
 /// without quota.
-fn scaled_limit(terms: VolumeTerms, times: f64) -> VolumeTerms {
-    let burst_factor = f64::from(u8::from(times > 0.0));
+fn scaled_limit(terms: VolumeTerms, base_quota_multiple: f64) -> VolumeTerms {
+    let burst_factor = f64::from(u8::from(base_quota_multiple > 0.0));
     VolumeTerms {
         limit: terms.limit.map(|quota| LimitQuota {
-            rate: quota.rate * times,
+            rate: quota.rate * base_quota_multiple,
             burst: quota.burst * burst_factor,
         }),
         ..terms
@@ -80,7 +80,7 @@
         seed: u64,
     ) -> Option<QuotaSharing> {
         let coordination = settings.fleet.filter(|_| !peers.is_empty())?;
-        let rules = Rules {
+        let rules = CoordinationSettings {
             interval: coordination.every,
             leases: LeaseTerms {
                 duration: coordination.loan,
@@ -139,9 +139,18 @@
         });
         // The previous quota applies until the coordination changes it, which it does when the router next
         // calls `step`, still within the router's own step.
-        let times = self.volumes.get(&volume).map_or(1.0, |shared| shared.times);
-        self.volumes.insert(volume, SharedVolume { terms, times });
-        Some(scaled_limit(terms, times))
+        let base_quota_multiple = self
+            .volumes
+            .get(&volume)
+            .map_or(1.0, |shared| shared.base_quota_multiple);
+        self.volumes.insert(
+            volume,
+            SharedVolume {
+                terms,
+                base_quota_multiple,
+            },
+        );
+        Some(scaled_limit(terms, base_quota_multiple))
     }
 
     /// Records a message of a peer that arrived after `transit_time`.
@@ -187,7 +196,7 @@
 
     /// Records the nodes that are in service according to the endpoint list and the operators, each with
     /// the number of the start of its process.
-    pub fn nodes_in_use(&mut self, nodes: BTreeMap<u32, u64>) {
+    pub fn set_nodes_in_service(&mut self, nodes: BTreeMap<u32, u64>) {
         self.pending.push(events::Event::NodesInUse(nodes));
     }
 
@@ -280,8 +289,11 @@
         {
             match action {
                 Action::Send { to, bytes } => outcome.messages.push((PeerId(to.0), bytes)),
-                Action::QuotaChanged { volume, times } => {
-                    events.extend(self.quota_changed(VolumeId(volume), times));
+                Action::QuotaChanged {
+                    volume,
+                    base_quota_multiple,
+                } => {
+                    events.extend(self.quota_changed(VolumeId(volume), base_quota_multiple));
                 }
                 Action::PolicyChanged { node, policy } => {
                     self.policy_changed(NodeId(node), policy, &mut outcome)
@@ -292,10 +304,10 @@
         outcome
     }
 
-    fn quota_changed(&mut self, volume: VolumeId, times: f64) -> Option<Event> {
+    fn quota_changed(&mut self, volume: VolumeId, base_quota_multiple: f64) -> Option<Event> {
         let shared = self.volumes.get_mut(&volume)?;
-        shared.times = times;
-        let terms = Some(scaled_limit(shared.terms, times));
+        shared.base_quota_multiple = base_quota_multiple;
+        let terms = Some(scaled_limit(shared.terms, base_quota_multiple));
         Some(Event::VolumeChanged { volume, terms })
     }
 
--- a/crates/host/src/router.rs
+++ b/crates/host/src/router.rs
@@ -38,7 +38,6 @@
 //! settings, and one record for each node.
 
 mod attempt_table;
-mod bad_peers;
 mod client_sessions;
 mod discovery;
 mod effects;
@@ -56,6 +55,7 @@
 mod step_clock;
 mod timers;
 mod types;
+mod violation_log_limiter;
 
 pub use types::{request_label, ConnId, Counters, Input, OpenWork, Output, WireMode};
 
@@ -156,7 +156,7 @@
         let index = self.host.index();
         let seed = self.host.seed();
         self.sharing = QuotaSharing::of(now, settings, index, peers, incarnation, seed);
-        if let (Some(sharing), false) = (&mut self.sharing, self.config.is_on()) {
+        if let (Some(sharing), false) = (&mut self.sharing, self.config.follows_state_service()) {
             sharing.declared(self.host.settings());
         }
         self
@@ -330,7 +330,7 @@
                 waited,
                 up_to_date,
             } => self.discovery_refused(conn, waited, up_to_date),
-            Input::DiscoveryEnded { conn } => self.discovery_ended(conn),
+            Input::DiscoveryClosedAfterResponse { conn } => self.discovery_ended(conn),
             Input::DiscoveryOverdue { conn } => self.discovery_overdue(conn),
             Input::DiscoveryMoved => self.step_discovery(DiscoveryEvent::Moved),
             Input::StateServiceUp { conn, outbox } => {
--- a/crates/host/src/router/effects.rs
+++ b/crates/host/src/router/effects.rs
@@ -4,8 +4,8 @@
 //! or health check, and how many violations of the protocol it has logged for each connection. It
 //! stores the effects of one step, and one entry for each connection with a violation.
 
-use super::bad_peers::ViolationLogLimiter;
 use super::types::{ConnId, Output};
+use super::violation_log_limiter::ViolationLogLimiter;
 use crate::log_event::{LogEvent, ProtocolViolation};
 use grebecleat_scheduler::api::Event;
 
--- a/crates/host/src/router/make_scheduler.rs
+++ b/crates/host/src/router/make_scheduler.rs
@@ -16,7 +16,7 @@
         settings.units.clone(),
         settings.host_limits.clone(),
     )
-    .with_rules(
+    .with_policies(
         rules.cold.clone(),
         // The scheduler always polls. If the discovery service pushes changes, each poll opens one
         // watch.
@@ -25,6 +25,6 @@
             ..settings.list.rule.clone()
         },
         rules.attempts.clone(),
-        rules.key_rest,
+        rules.key_cool_down,
     )
 }
--- a/crates/host/src/router/node_connection.rs
+++ b/crates/host/src/router/node_connection.rs
@@ -118,7 +118,7 @@
         self.attempts.insert(attempt);
         let outbox = self.outbox.as_ref();
         let outbox = outbox.expect("an attempt is assigned to a connection that is up");
-        outbox.put_attempt_of(attempt, frame, now, deadline, client);
+        outbox.put_client_attempt(attempt, frame, now, deadline, client);
     }
 
     /// Removes an attempt that has ended.
--- a/crates/host/src/router/nodes.rs
+++ b/crates/host/src/router/nodes.rs
@@ -307,7 +307,7 @@
             ready.then_some((node.0, known.start))
         };
         let nodes = self.discovery.endpoints().iter().filter_map(in_service);
-        sharing.nodes_in_use(nodes.collect());
+        sharing.set_nodes_in_service(nodes.collect());
     }
 
     /// Reports nodes whose exclusion from service has changed to the scheduler, as if the endpoint list
--- a/crates/host/src/router/request_terms.rs
+++ b/crates/host/src/router/request_terms.rs
@@ -61,7 +61,7 @@
             return Err(ProtocolViolation::UnknownPlan.into());
         }
         VolumePlacement::Here { plan, hosts } => (plan, hosts),
-        VolumePlacement::Unknown if !config.is_on() => {
+        VolumePlacement::Unknown if !config.follows_state_service() => {
             return Err(ProtocolViolation::UnknownVolume.into());
         }
         other => return Err(TermsError::NotServedHere(other)),
--- a/crates/host/src/router/requests.rs
+++ b/crates/host/src/router/requests.rs
@@ -48,7 +48,7 @@
                 self.receive_request(conn, at, transit_time, message)
             }
             Some(Body::CancelRequest(message)) => {
-                client.outbox().cancel_handled(&message.id);
+                client.outbox().forget_cancellation(&message.id);
                 let sent_by_client = |id: &RequestId| {
                     let request = self.clients.request(id);
                     request.is_some_and(|request| request.client() == conn)
--- a/crates/host/src/router/step_clock.rs
+++ b/crates/host/src/router/step_clock.rs
@@ -46,7 +46,9 @@
     /// Returns whether this process was paused just before `now`: whether the caller woke much later
     /// than requested.
     pub(super) fn detect_pause(&mut self, now: Duration) -> bool {
-        let paused = self.pauses.woke(self.requested_wake.max(self.now), now);
+        let paused = self
+            .pauses
+            .record_wake(self.requested_wake.max(self.now), now);
         if paused {
             self.requested_wake = now;
         }
--- a/crates/host/src/router/types.rs
+++ b/crates/host/src/router/types.rs
@@ -90,7 +90,7 @@
     },
     /// The discovery service has closed a connection after its response, which is not a failure. The
     /// next call needs another connection.
-    DiscoveryEnded {
+    DiscoveryClosedAfterResponse {
         /// The connection.
         conn: ConnId,
     },
--- a/crates/host/src/server.rs
+++ b/crates/host/src/server.rs
@@ -17,7 +17,7 @@
 mod peers;
 mod signals;
 
-pub use signals::{on_signals, on_signals_do};
+pub use signals::{call_on_signals, shut_down_on_signals};
 
 use crate::outbox::Outbox;
 use crate::router::{ConnId, Counters, Input};
--- a/crates/host/src/server/signals.rs
+++ b/crates/host/src/server/signals.rs
@@ -12,12 +12,12 @@
 const EXIT_SECOND_SIGNAL: i32 = 3;
 
 /// Shuts the host down gracefully on SIGTERM or SIGINT. A second signal ends the process with code 3.
-pub fn on_signals(handle: Handle) {
-    on_signals_do(move || handle.drain());
+pub fn shut_down_on_signals(handle: Handle) {
+    call_on_signals(move || handle.drain());
 }
 
 /// Calls `end` on SIGTERM or SIGINT. A second signal ends the process with code 3.
-pub fn on_signals_do(end: impl Fn() + Send + 'static) {
+pub fn call_on_signals(end: impl Fn() + Send + 'static) {
     std::thread::spawn(move || {
         let Ok(mut signals) = Signals::new([SIGTERM, SIGINT]) else {
             return;
--- a/crates/host/tests/quota_sharing.rs
+++ b/crates/host/tests/quota_sharing.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use common::{ms, Rig, CLIENT};
 use grebecleat_coordination::coordinator::Coordinator;
-use grebecleat_coordination::events::{Action, Event, Rules};
+use grebecleat_coordination::events::{Action, CoordinationSettings, Event};
 use grebecleat_coordination::lease_message::LeaseTerms;
 use grebecleat_coordination::{HostNumber, Incarnation};
 use grebecleat_host::router::{ConnId, Input};
@@ -36,7 +36,7 @@
 
 impl Pair {
     fn new() -> Pair {
-        let rules = Rules {
+        let rules = CoordinationSettings {
             interval: ms(100),
             leases: LeaseTerms {
                 duration: Duration::from_secs(1),
--- a/crates/iscsi-target/src/engine.rs
+++ b/crates/iscsi-target/src/engine.rs
@@ -26,7 +26,9 @@
 mod sessions;
 mod task_management;
 
-pub use messages::{ConnNo, Input, Output, Request, RequestNumber, TargetFacts, VolumeFacts};
+pub use messages::{
+    ConnNo, Input, Output, Request, RequestNumber, TargetDescription, VolumeDescription,
+};
 
 use crate::pressure::WindowLimits;
 use crate::versions::Versions;
@@ -53,9 +55,9 @@
     /// Addresses of the portal, as discovery reports them.
     pub addresses: Vec<String>,
     /// Targets and their logical units.
-    pub targets: Vec<TargetFacts>,
-    /// Volumes, in the order that `TargetFacts::luns` refers to.
-    pub volumes: Vec<VolumeFacts>,
+    pub targets: Vec<TargetDescription>,
+    /// Volumes, in the order that `TargetDescription::luns` refers to.
+    pub volumes: Vec<VolumeDescription>,
     /// Limits of each volume's command windows.
     pub window_limits: WindowLimits,
     /// Time for which a failed write may still take effect at a node.
@@ -70,7 +72,7 @@
 pub struct Engine {
     portal: Portal,
     addresses: Vec<String>,
-    targets: Vec<TargetFacts>,
+    targets: Vec<TargetDescription>,
     volumes: Vec<Volume>,
     late_write_time: Duration,
     challenges: ChallengeSource,
--- a/crates/iscsi-target/src/engine/block_commands.rs
+++ b/crates/iscsi-target/src/engine/block_commands.rs
@@ -110,7 +110,7 @@
 
 /// Returns the outcome of a command whose range or data does not fit the unit, or that has no
 /// blocks.
-fn check_range(unit: &Unit, command: &BlockCommand, max_in: u32) -> Option<Outcome> {
+fn check_range(unit: &Unit, command: &BlockCommand, max_read_bytes: u32) -> Option<Outcome> {
     let BlockCommand {
         lba,
         blocks,
@@ -125,7 +125,7 @@
     let bytes = byte_length(unit, *blocks);
     let data_misfits = match action {
         BlockAction::Write(data) | BlockAction::Verify(Some(data)) => data.len() != bytes,
-        BlockAction::Read => max_in == 0 && bytes > 0,
+        BlockAction::Read => max_read_bytes == 0 && bytes > 0,
         _ => false,
     };
     if data_misfits || (action.writes() && unit.read_only) {
@@ -147,7 +147,7 @@
             Validation::Blocks(command) => command,
             Validation::Answered(outcome) => return Some(outcome),
         };
-        if let Some(outcome) = check_range(unit, &command, scsi.max_in) {
+        if let Some(outcome) = check_range(unit, &command, scsi.max_read_bytes) {
             return Some(outcome);
         }
         let number = self.next_number();
--- a/crates/iscsi-target/src/engine/connections.rs
+++ b/crates/iscsi-target/src/engine/connections.rs
@@ -7,7 +7,7 @@
 use super::messages::{ConnNo, Output};
 use super::records::{Connection, PendingLogin, Phase};
 use super::Engine;
-use grebecleat_iscsi::login::{LoggedIn, Login, Standing};
+use grebecleat_iscsi::login::{LoggedIn, Login, LoginState};
 use grebecleat_iscsi::pdu::{Digests, Opcode, Pdu, PduError};
 
 /// Maximum number of logins in progress; at the limit a new connection closes the oldest one.
@@ -87,14 +87,14 @@
         }
     }
 
-    fn login_answered(&mut self, conn: ConnNo, response: Pdu, standing: Standing, cmd_sn: u32) {
+    fn login_answered(&mut self, conn: ConnNo, response: Pdu, standing: LoginState, cmd_sn: u32) {
         match standing {
-            Standing::Goes => self.send_login_response(conn, response),
-            Standing::Failed(status, reason) => {
+            LoginState::NeedsRequest => self.send_login_response(conn, response),
+            LoginState::Failed(status, reason) => {
                 self.send_login_response(conn, response);
                 self.refuse(conn, &format!("login refused ({status:?}): {reason}"));
             }
-            Standing::Done(identity) => self.login_done(conn, response, *identity, cmd_sn),
+            LoginState::Done(identity) => self.login_done(conn, response, *identity, cmd_sn),
         }
     }
 
@@ -105,7 +105,7 @@
                 self.outputs.push(Output::SetReader {
                     conn,
                     digests: self.connections[&conn].digests,
-                    max_data: self.portal.wishes.our_segment as usize,
+                    max_data: self.portal.preferences.own_max_segment as usize,
                 });
                 self.send_login_response(conn, response);
             }
--- a/crates/iscsi-target/src/engine/messages.rs
+++ b/crates/iscsi-target/src/engine/messages.rs
@@ -137,7 +137,7 @@
 
 /// A volume as a logical unit.
 #[derive(Debug, Clone)]
-pub struct VolumeFacts {
+pub struct VolumeDescription {
     /// The volume's id.
     pub volume: u64,
     /// Its properties as SCSI commands report them.
@@ -150,7 +150,7 @@
 
 /// A target and its logical units.
 #[derive(Debug, Clone)]
-pub struct TargetFacts {
+pub struct TargetDescription {
     /// Its iSCSI name.
     pub name: String,
     /// Indices into the list of volumes, by LUN from 0.
--- a/crates/iscsi-target/src/engine/records.rs
+++ b/crates/iscsi-target/src/engine/records.rs
@@ -3,7 +3,7 @@
 //! Only the engine uses them. Each record is held in one of its maps and removed when the object it
 //! describes ends.
 
-use super::messages::{ConnNo, Request, RequestNumber, VolumeFacts};
+use super::messages::{ConnNo, Request, RequestNumber, VolumeDescription};
 use crate::blocks::{Layout, OutcomeCollector};
 use crate::overlaps::Overlaps;
 use crate::pressure::{BackPressure, WindowLimits};
@@ -19,7 +19,7 @@
 /// A volume and its open commands.
 #[derive(Debug)]
 pub(super) struct Volume {
-    pub facts: VolumeFacts,
+    pub facts: VolumeDescription,
     pub layout: Layout,
     pub overlaps: Overlaps,
     pub pressure: BackPressure,
@@ -29,7 +29,7 @@
 }
 
 impl Volume {
-    pub fn new(facts: VolumeFacts, limits: WindowLimits) -> Self {
+    pub fn new(facts: VolumeDescription, limits: WindowLimits) -> Self {
         Volume {
             layout: Layout {
                 block_size: facts.unit.block_size,
@@ -80,7 +80,7 @@
     pub cdb: [u8; 16],
     pub data: Bytes,
     /// Number of bytes that the initiator expects to read.
-    pub max_in: u32,
+    pub max_read_bytes: u32,
 }
 
 /// Operation of a command on its blocks.
--- a/crates/iscsi-target/src/portal.rs
+++ b/crates/iscsi-target/src/portal.rs
@@ -33,7 +33,7 @@
 const MAX_HEADER_BYTES: usize = 4096;
 
 /// Placements of extents and the version ceiling, as persisted by earlier runs of the process.
-pub struct Places<'a> {
+pub struct PersistedState<'a> {
     /// Persists placements and ceilings.
     pub keeper: &'a GroupCommit,
     /// Placements of extents by volume id.
@@ -63,7 +63,7 @@
     settings: &Arc<Settings>,
     spec: &PortalSpec,
     host: &Handle,
-    store: Places,
+    store: PersistedState,
 ) -> Result<SocketAddr, StartError> {
     let (events, received) = mpsc::channel();
     let listener = TcpListener::bind(spec.listen).map_err(|source| StartError::Listen {
--- a/crates/iscsi-target/src/portal/owner.rs
+++ b/crates/iscsi-target/src/portal/owner.rs
@@ -193,7 +193,7 @@
             }
             Output::PersistCeiling { ceiling } => {
                 self.persist(
-                    Record::Ceiling(ceiling),
+                    Record::VersionCeiling(ceiling),
                     Input::CeilingPersisted { ceiling },
                 );
             }
--- a/crates/iscsi-target/src/portal/setup.rs
+++ b/crates/iscsi-target/src/portal/setup.rs
@@ -2,9 +2,9 @@
 //!
 //! Called once, when a portal starts.
 
-use super::Places;
+use super::PersistedState;
 use crate::engine::{
-    ChallengeSource, Engine, EngineConfig, TargetFacts, VolumeFacts, CHALLENGE_BYTES,
+    ChallengeSource, Engine, EngineConfig, TargetDescription, VolumeDescription, CHALLENGE_BYTES,
 };
 use crate::pressure::WindowLimits;
 use crate::versions::Versions;
@@ -26,7 +26,7 @@
     settings: &Settings,
     spec: &PortalSpec,
     address: SocketAddr,
-    store: &Places,
+    store: &PersistedState,
 ) -> Engine {
     let (initial, maximum, max_per_session) = spec.commands;
     Engine::new(EngineConfig {
@@ -66,20 +66,24 @@
     }
 }
 
-fn targets(settings: &Settings) -> Vec<TargetFacts> {
+fn targets(settings: &Settings) -> Vec<TargetDescription> {
     let targets = settings.targets.iter();
     targets
-        .map(|target| TargetFacts {
+        .map(|target| TargetDescription {
             name: target.name.clone(),
             luns: target.volumes.clone(),
         })
         .collect()
 }
 
-fn volumes(settings: &Settings, spec: &PortalSpec, store: &Places) -> Vec<VolumeFacts> {
+fn volumes(
+    settings: &Settings,
+    spec: &PortalSpec,
+    store: &PersistedState,
+) -> Vec<VolumeDescription> {
     let volumes = settings.volumes.iter();
     volumes
-        .map(|volume| VolumeFacts {
+        .map(|volume| VolumeDescription {
             volume: volume.id,
             unit: Unit {
                 blocks: volume.blocks,
@@ -98,7 +102,7 @@
 /// Time for which an attempt of a failed request may still start at a node, plus the time for which
 /// its ordering key then stays in use.
 fn late_write_time(settings: &Settings) -> Duration {
-    settings.longest_deadline() + settings.rules.key_rest
+    settings.longest_deadline() + settings.rules.key_cool_down
 }
 
 fn unix_micros() -> u64 {
--- a/crates/iscsi-target/tests/engine/harness.rs
+++ b/crates/iscsi-target/tests/engine/harness.rs
@@ -75,7 +75,7 @@
         max_blocks: 256,
         read_only: false,
     };
-    let volume = VolumeFacts {
+    let volume = VolumeDescription {
         volume: 7,
         unit,
         extent_blocks: 16,
@@ -89,7 +89,7 @@
             ..Portal::default()
         },
         addresses: vec!["127.0.0.1:3260,1".to_string()],
-        targets: vec![TargetFacts {
+        targets: vec![TargetDescription {
             name: NAME.into(),
             luns: vec![0],
         }],
--- a/crates/iscsi-target/tests/script/mod.rs
+++ b/crates/iscsi-target/tests/script/mod.rs
@@ -98,13 +98,13 @@
             max_blocks: 64,
             read_only: id == 2,
         };
-        let volume = |id| VolumeFacts {
+        let volume = |id| VolumeDescription {
             volume: id,
             unit: unit(id),
             extent_blocks: 16,
             placed: [(3, 1)].into_iter().collect(),
         };
-        let facts = vec![TargetFacts {
+        let facts = vec![TargetDescription {
             name: NAME.into(),
             luns: vec![0, 1],
         }];
--- a/crates/iscsi/src/keys/negotiation.rs
+++ b/crates/iscsi/src/keys/negotiation.rs
@@ -9,7 +9,7 @@
 /// One side's answers to the other's offers, over one login or text negotiation.
 #[derive(Debug)]
 pub struct Negotiation {
-    wishes: Preferences,
+    preferences: Preferences,
     /// The parameters agreed so far.
     pub agreed: Params,
     /// The session is a discovery session.
@@ -65,9 +65,9 @@
 impl Negotiation {
     /// Creates a negotiation that starts from `agreed`. `login` and `leading` determine the permitted
     /// keys.
-    pub fn new(wishes: Preferences, agreed: Params, login: bool, leading: bool) -> Self {
+    pub fn new(preferences: Preferences, agreed: Params, login: bool, leading: bool) -> Self {
         Negotiation {
-            wishes,
+            preferences,
             agreed,
             discovery: false,
             leading,
@@ -155,8 +155,9 @@
     }
 
     fn agree_list(&mut self, offer: Offer, known: &[&str]) -> Answer {
-        let is_supported =
-            |value: &&str| known.contains(value) && (*value != "CRC32C" || self.wishes.digests);
+        let is_supported = |value: &&str| {
+            known.contains(value) && (*value != "CRC32C" || self.preferences.digests)
+        };
         let Some(first) = offer.value.split(',').find(is_supported) else {
             return offer.answer("Reject");
         };
@@ -181,7 +182,7 @@
             "iSCSIProtocolLevel" => |params| &mut params.protocol_level,
             _ => |params| &mut params.recovery_level,
         };
-        (*field(&mut self.wishes.params.clone()), field)
+        (*field(&mut self.preferences.params.clone()), field)
     }
 
     /// Returns this side's choice for a key, and the field that stores the result.
@@ -192,14 +193,14 @@
             "DataPDUInOrder" => |params| &mut params.pdu_in_order,
             _ => |params| &mut params.sequence_in_order,
         };
-        (*field(&mut self.wishes.params.clone()), field)
+        (*field(&mut self.preferences.params.clone()), field)
     }
 
     /// Returns the pairs that this side declares once in each login.
     pub fn declarations(&self) -> Vec<(String, String)> {
         vec![(
             "MaxRecvDataSegmentLength".into(),
-            self.wishes.our_segment.to_string(),
+            self.preferences.own_max_segment.to_string(),
         )]
     }
 }
--- a/crates/iscsi/src/keys/params.rs
+++ b/crates/iscsi/src/keys/params.rs
@@ -65,7 +65,7 @@
     /// The preferred value of each parameter.
     pub params: Params,
     /// MaxRecvDataSegmentLength of this side, in bytes.
-    pub our_segment: u32,
+    pub own_max_segment: u32,
 }
 
 impl Default for Preferences {
@@ -83,7 +83,7 @@
         Preferences {
             digests: true,
             params,
-            our_segment: 256 << 10,
+            own_max_segment: 256 << 10,
         }
     }
 }
--- a/crates/iscsi/src/login.rs
+++ b/crates/iscsi/src/login.rs
@@ -87,7 +87,7 @@
     pub discovery_chap: Option<Secret>,
     /// The target portal group tag.
     pub group: u16,
-    pub wishes: Preferences,
+    pub preferences: Preferences,
 }
 
 /// The result of a completed login.
@@ -105,9 +105,9 @@
 
 /// The state of a login after a request.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Standing {
+pub enum LoginState {
     /// The login continues with another request.
-    Goes,
+    NeedsRequest,
     /// The full feature phase begins after the response. The caller sets the TSIH.
     Done(Box<LoggedIn>),
     /// The login failed, for the given reason. The connection ends after the response.
@@ -173,20 +173,20 @@
         pdu: &Pdu,
         random_bytes: [u8; 17],
         sequence_numbers: (u32, u32, u32),
-    ) -> (Pdu, Standing) {
+    ) -> (Pdu, LoginState) {
         let h = &pdu.header;
         let answered = self.step(h, &pdu.data, random_bytes);
         let (status, pairs, to, standing) = match answered {
             Ok((pairs, to)) => {
                 let done = to == Some(Stage::FullFeature);
                 let standing = if done {
-                    Standing::Done(Box::new(self.logged_in(h)))
+                    LoginState::Done(Box::new(self.logged_in(h)))
                 } else {
-                    Standing::Goes
+                    LoginState::NeedsRequest
                 };
                 (Status::Success, pairs, to, standing)
             }
-            Err((status, why)) => (status, Vec::new(), None, Standing::Failed(status, why)),
+            Err((status, why)) => (status, Vec::new(), None, LoginState::Failed(status, why)),
         };
         let csg = (h.flags() >> 2) & 3;
         let transit_flags = to.map_or(0, |to| 0x80 | to as u8);
@@ -307,7 +307,8 @@
         self.initiator = Some(initiator.to_string());
         let leading = h.tsih() == 0;
         let agreed = Params::default();
-        let mut negotiation = Negotiation::new(self.portal.wishes.clone(), agreed, true, leading);
+        let mut negotiation =
+            Negotiation::new(self.portal.preferences.clone(), agreed, true, leading);
         match get("SessionType").unwrap_or("Normal") {
             "Discovery" => negotiation.discovery = true,
             "Normal" => {
--- a/crates/iscsi/src/session.rs
+++ b/crates/iscsi/src/session.rs
@@ -61,7 +61,7 @@
         cdb: [u8; 16],
         data: Bytes,
         /// The maximum data that the command may return, in bytes.
-        max_in: u32,
+        max_read_bytes: u32,
     },
     /// Abort these tasks. The device confirms each by [`Session::complete`] or
     /// [`Session::abort_complete`]. The response to a task management request waits for all of them.
@@ -551,7 +551,7 @@
                 .single_pdu_data
                 .take()
                 .unwrap_or_else(|| std::mem::take(&mut c.data).freeze());
-            let max_in = if t.reads() { length } else { 0 };
+            let max_read_bytes = if t.reads() { length } else { 0 };
             t.state = State::Running;
             let (task, cdb) = (t.id, t.header.cdb());
             return self.actions.push(SessionAction::Start {
@@ -559,7 +559,7 @@
                 lun,
                 cdb,
                 data,
-                max_in,
+                max_read_bytes,
             });
         }
         // No R2T is sent while unsolicited data is outstanding.
--- a/crates/iscsi/tests/login.rs
+++ b/crates/iscsi/tests/login.rs
@@ -2,7 +2,7 @@
 
 use grebecleat_iscsi::chap::{from_text, to_text, Algorithm};
 use grebecleat_iscsi::keys::{format, parse, KeyError, Negotiation, Params, Preferences, MAX_TEXT};
-use grebecleat_iscsi::login::{Login, Portal, Secret, Standing, Status, Target, MAX_REQUESTS};
+use grebecleat_iscsi::login::{Login, LoginState, Portal, Secret, Status, Target, MAX_REQUESTS};
 use grebecleat_iscsi::pdu::{Header, Opcode, Pdu};
 
 const SECRET: &[u8] = b"a secret of sixteen";
@@ -52,7 +52,7 @@
     login: &mut Login,
     flags: u8,
     keys: &[(&str, &str)],
-) -> (Header, Vec<(String, String)>, Standing) {
+) -> (Header, Vec<(String, String)>, LoginState) {
     send_text(login, flags, format(&pairs(keys)))
 }
 
@@ -60,7 +60,7 @@
     login: &mut Login,
     flags: u8,
     text: Vec<u8>,
-) -> (Header, Vec<(String, String)>, Standing) {
+) -> (Header, Vec<(String, String)>, LoginState) {
     let header = Header::new(Opcode::LoginRequest)
         .set_immediate(true)
         .set_flags(flags)
@@ -170,7 +170,7 @@
         ),
         (Some("CRC32C"), Some("262144"))
     );
-    let Standing::Done(logged_in) = standing else {
+    let LoginState::Done(logged_in) = standing else {
         panic!("{standing:?}")
     };
     assert!(
@@ -184,11 +184,11 @@
     let (h, answers, standing) = send(&mut login, flags(true, 0, 1), &keys);
     assert_eq!(
         (h.flags(), get(&answers, "AuthMethod"), &standing),
-        (0x81, Some("None"), &Standing::Goes)
+        (0x81, Some("None"), &LoginState::NeedsRequest)
     );
     assert_eq!(get(&answers, "TargetPortalGroupTag"), Some("1"));
     let (.., standing) = send(&mut login, flags(true, 1, 3), &[("MaxBurstLength", "8192")]);
-    assert!(matches!(standing, Standing::Done(logged_in) if logged_in.params.max_burst == 8192));
+    assert!(matches!(standing, LoginState::Done(logged_in) if logged_in.params.max_burst == 8192));
 }
 
 #[test]
@@ -200,7 +200,7 @@
         ("AuthMethod", "None"),
     ];
     let (.., standing) = send(&mut login, flags(true, 0, 3), &keys);
-    assert!(matches!(standing, Standing::Done(logged_in) if logged_in.target.is_none()));
+    assert!(matches!(standing, LoginState::Done(logged_in) if logged_in.target.is_none()));
 }
 
 /// Returns the response to the target's challenge.
@@ -216,7 +216,7 @@
     let (_, answers, standing) = send(&mut login, flags(false, 0, 0), &CHAP_TARGET);
     assert_eq!(
         (get(&answers, "AuthMethod"), standing),
-        (Some("CHAP"), Standing::Goes)
+        (Some("CHAP"), LoginState::NeedsRequest)
     );
     let (_, answers, _) = send(&mut login, flags(false, 0, 0), &[("CHAP_A", "5")]);
     assert_eq!(get(&answers, "CHAP_A"), Some("5"));
@@ -236,7 +236,10 @@
         ("CHAP_C", &challenge),
     ];
     let (h, answers, standing) = send(&mut login, flags(true, 0, 1), &keys);
-    assert_eq!((h.flags() & 0x83, standing), (0x81, Standing::Goes));
+    assert_eq!(
+        (h.flags() & 0x83, standing),
+        (0x81, LoginState::NeedsRequest)
+    );
     let expected =
         to_text(&Algorithm::Md5.response(44, b"another secret of ours", &initiator_challenge));
     assert_eq!(
@@ -244,13 +247,17 @@
         (Some("target"), Some(expected.as_str()))
     );
     let (.., standing) = send(&mut login, flags(true, 1, 3), &[]);
-    assert!(matches!(standing, Standing::Done(_)));
+    assert!(matches!(standing, LoginState::Done(_)));
 }
 
 #[test]
 fn initiators_that_fail_to_authenticate_are_rejected() {
-    let fails =
-        |standing: Standing| matches!(standing, Standing::Failed(Status::AuthenticationFailure, _));
+    let fails = |standing: LoginState| {
+        matches!(
+            standing,
+            LoginState::Failed(Status::AuthenticationFailure, _)
+        )
+    };
     // A wrong secret, a wrong name, and no response.
     for (name, secret) in [("alice", &b"some other secret.."[..]), ("bob", SECRET)] {
         let (mut login, answers) = login_with_challenge();
@@ -372,7 +379,7 @@
         let mut login = Login::new(portal());
         let (h, _, standing) = send(&mut login, flags, &keys);
         assert!(
-            matches!(&standing, Standing::Failed(s, _) if *s == status),
+            matches!(&standing, LoginState::Failed(s, _) if *s == status),
             "{keys:?}: {standing:?}"
         );
         assert_eq!(u16::from_be_bytes([h.byte(36), h.byte(37)]), status as u16);
@@ -387,10 +394,10 @@
     let (h, answers, standing) = send_text(&mut login, 1 << 2 | 0x40, half.to_vec());
     assert_eq!(
         (h.flags() & 0x80, answers, standing),
-        (0, vec![], Standing::Goes)
+        (0, vec![], LoginState::NeedsRequest)
     );
     let (.., standing) = send_text(&mut login, flags(true, 1, 3), rest.to_vec());
-    assert!(matches!(standing, Standing::Done(_)));
+    assert!(matches!(standing, LoginState::Done(_)));
     // Text beyond `MAX_TEXT` over several requests, and a login beyond `MAX_REQUESTS`.
     let mut login = Login::new(portal());
     let piece = vec![b'k'; 8 << 10];
@@ -398,7 +405,7 @@
         .map(|_| {
             matches!(
                 send_text(&mut login, 1 << 2 | 0x40, piece.clone()).2,
-                Standing::Failed(..)
+                LoginState::Failed(..)
             )
         })
         .collect();
@@ -407,7 +414,7 @@
     let failed = (0..100).position(|_| {
         matches!(
             send_text(&mut login, 1 << 2 | 0x40, Vec::new()).2,
-            Standing::Failed(..)
+            LoginState::Failed(..)
         )
     });
     assert_eq!(failed, Some(MAX_REQUESTS as usize));
--- a/crates/membership/src/answers.rs
+++ b/crates/membership/src/answers.rs
@@ -7,7 +7,7 @@
 
 /// How well a node responds to the attempts of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub enum Answers {
+pub enum ResponseHealth {
     /// Unknown, because the node completed no attempt recently and gave no evidence of being bad.
     #[default]
     None,
@@ -19,7 +19,7 @@
 
 /// A host's measurements of its attempts at a node.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct NodeHealth {
+pub struct AttemptMeasurements {
     /// The fraction of the node's load that the admission throttle admits, from 0 (ejected) to 1.
     pub admission_level: f64,
     /// Failed attempts in a row.
@@ -42,7 +42,7 @@
 /// report a node as good that no longer is; a smaller one loses the evidence on rarely used nodes.
 const MAX_SUCCESS_AGE: Duration = Duration::from_secs(10);
 
-impl Answers {
+impl ResponseHealth {
     /// Returns the value that a host reports, given its measurements and its previous report.
     ///
     /// ```
@@ -58,17 +58,17 @@
     /// assert_eq!(Answers::of(health(0.3, 0, 3), Answers::Bad), Answers::Bad);
     /// assert_eq!(Answers::of(health(0.6, 0, 30), Answers::Bad), Answers::None);
     /// ```
-    pub fn of(health: NodeHealth, before: Answers) -> Answers {
+    pub fn of(health: AttemptMeasurements, before: ResponseHealth) -> ResponseHealth {
         let min_level = match before {
-            Answers::Bad => RECOVERY_LEVEL,
-            Answers::None | Answers::Good => BAD_BELOW_LEVEL,
+            ResponseHealth::Bad => RECOVERY_LEVEL,
+            ResponseHealth::None | ResponseHealth::Good => BAD_BELOW_LEVEL,
         };
         if health.admission_level < min_level || health.consecutive_failures >= BAD_AFTER_FAILURES {
-            return Answers::Bad;
+            return ResponseHealth::Bad;
         }
         match health.since_success {
-            Some(since) if since < MAX_SUCCESS_AGE => Answers::Good,
-            _ => Answers::None,
+            Some(since) if since < MAX_SUCCESS_AGE => ResponseHealth::Good,
+            _ => ResponseHealth::None,
         }
     }
 }
--- a/crates/membership/src/drains.rs
+++ b/crates/membership/src/drains.rs
@@ -49,7 +49,7 @@
 mod status;
 mod view;
 
-pub use messages::{Action, Event, NodeFacts, NodeObservation, ProposalId};
+pub use messages::{Action, Event, NodeAttributes, NodeObservation, ProposalId};
 pub use view::{DrainView, NodeView, Phase};
 
 use crate::node_status::node_status;
@@ -139,7 +139,7 @@
     fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Node { node, to } => {
-                self.nodes.set_facts(node, to);
+                self.nodes.set_attributes(node, to);
                 self.stages.retry_queued();
             }
             Event::Drain { node, to, version } => {
@@ -211,10 +211,10 @@
             return;
         };
         let evidence = self.status_rules.evidence(self.now, self.wall, node);
-        let (status, authority) = node_status(&evidence);
+        let (status, status_source) = node_status(&evidence);
         let exclusion = status::exclusion(node, status);
         let in_catalog = node.in_catalog;
-        let before = self.nodes.set_status(number, status, authority);
+        let before = self.nodes.set_status(number, status, status_source);
         if self.nodes.set_exclusion(number, exclusion) {
             self.stages.retry_queued();
             actions.push(Action::SetExclusion {
@@ -225,7 +225,7 @@
         if before != status && in_catalog {
             actions.push(Action::Notify {
                 node: number,
-                text: format!("{status}, by {authority}; it was {before}"),
+                text: format!("{status}, by {status_source}; it was {before}"),
             });
         }
     }
--- a/crates/membership/src/drains/messages.rs
+++ b/crates/membership/src/drains/messages.rs
@@ -2,8 +2,8 @@
 //!
 //! The catalog service creates the events and performs the actions.
 
-use crate::answers::Answers;
-use crate::list_reading::ListedState;
+use crate::answers::ResponseHealth;
+use crate::list_entry::ListedState;
 use grebecleat_catalog::admission::ExclusionReason;
 use grebecleat_catalog::feed::HostNumber;
 use grebecleat_catalog::records::{Drain, Name, Version};
@@ -21,7 +21,7 @@
     /// The revision of the endpoint list; 0 for a list from the host's cache.
     pub revision: u64,
     /// How well the node responds to the host's attempts.
-    pub answers: Answers,
+    pub answers: ResponseHealth,
     /// The version of the catalog that the host had applied when it counted its attempts.
     pub catalog_version: Version,
     /// Number of the host's attempts in flight at the node.
@@ -35,7 +35,7 @@
 
 /// The attributes of a node in the catalog.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-pub struct NodeFacts {
+pub struct NodeAttributes {
     /// The node's name.
     pub name: Name,
     /// The node's zone, which is a failure domain.
@@ -56,7 +56,7 @@
         /// The node's number.
         node: u32,
         /// The node's new attributes. `None` if the node was removed from the catalog.
-        to: Option<NodeFacts>,
+        to: Option<NodeAttributes>,
     },
     /// A change of a drain in the catalog was persisted.
     Drain {
--- a/crates/membership/src/drains/nodes.rs
+++ b/crates/membership/src/drains/nodes.rs
@@ -6,9 +6,9 @@
 //! node.
 
 use super::drain_state::DrainState;
-use super::messages::{NodeFacts, NodeObservation, ProposalId};
-use crate::answers::Answers;
-use crate::list_reading::{ListEntry, ListedState};
+use super::messages::{NodeAttributes, NodeObservation, ProposalId};
+use crate::answers::ResponseHealth;
+use crate::list_entry::{ListEntry, ListedState};
 use crate::node_status::{NodeStatus, StatusSource};
 use grebecleat_catalog::admission::ExclusionReason;
 use grebecleat_catalog::feed::HostNumber;
@@ -28,7 +28,7 @@
 }
 
 impl Report {
-    fn list_reading(&self) -> ListEntry {
+    fn list_entry(&self) -> ListEntry {
         ListEntry {
             state: self.observation.listed,
             incarnation: self.observation.incarnation,
@@ -49,7 +49,7 @@
 /// The state of one node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub(super) struct Node {
-    pub facts: NodeFacts,
+    pub attributes: NodeAttributes,
     /// Whether the node is in the catalog.
     pub in_catalog: bool,
     /// The last report of each host on this node.
@@ -57,16 +57,16 @@
     pub drain: Option<DrainState>,
     pub status: NodeStatus,
     /// The source that decided the status.
-    pub authority: StatusSource,
+    pub status_source: StatusSource,
     /// The exclusion that was last reported to admission.
     pub exclusion: Option<ExclusionReason>,
 }
 
 impl Node {
     /// Returns the entry in the endpoint list that takes precedence among those of all hosts.
-    pub fn list_reading(&self) -> Option<ListEntry> {
-        let entries = self.reports.values().map(Report::list_reading);
-        let listed = entries.filter(|entry| entry.state != ListedState::Never);
+    pub fn list_entry(&self) -> Option<ListEntry> {
+        let entries = self.reports.values().map(Report::list_entry);
+        let listed = entries.filter(|entry| entry.state != ListedState::NeverListed);
         listed.reduce(
             |best, entry| {
                 if entry.supersedes(&best) {
@@ -124,10 +124,10 @@
     }
 
     /// Sets a node's attributes. `None` if the catalog no longer contains the node.
-    pub fn set_facts(&mut self, number: u32, facts: Option<NodeFacts>) {
+    pub fn set_attributes(&mut self, number: u32, attributes: Option<NodeAttributes>) {
         let node = self.changed_node_mut(number);
-        node.in_catalog = facts.is_some();
-        node.facts = facts.unwrap_or_default();
+        node.in_catalog = attributes.is_some();
+        node.attributes = attributes.unwrap_or_default();
     }
 
     /// Removes and returns a node's drain, which has ended or will be replaced.
@@ -184,7 +184,7 @@
         for node in self.nodes.values_mut() {
             if let Some(report) = node.reports.get_mut(&host) {
                 report.observation.catalog_version = Version(0);
-                report.observation.answers = Answers::None;
+                report.observation.answers = ResponseHealth::None;
             }
         }
     }
@@ -194,10 +194,10 @@
         &mut self,
         number: u32,
         status: NodeStatus,
-        authority: StatusSource,
+        status_source: StatusSource,
     ) -> NodeStatus {
         let node = self.nodes.entry(number).or_default();
-        node.authority = authority;
+        node.status_source = status_source;
         std::mem::replace(&mut node.status, status)
     }
 
--- a/crates/membership/src/drains/stages.rs
+++ b/crates/membership/src/drains/stages.rs
@@ -8,7 +8,7 @@
 use super::hosts::HostTable;
 use super::messages::{Action, ProposalId};
 use super::nodes::{Node, NodeTable};
-use crate::list_reading::ListedState;
+use crate::list_entry::ListedState;
 use grebecleat_catalog::admission::{excluded_in_zone, ExclusionReason};
 use grebecleat_catalog::records::{Drain, Stage, Version};
 use std::hash::{Hash, Hasher};
@@ -186,7 +186,7 @@
 /// A drained node counts as removed when the endpoint list no longer contains it.
 fn after_drained(node: &Node) -> Option<NextStage> {
     let gone = node
-        .list_reading()
+        .list_entry()
         .is_some_and(|entry| entry.state == ListedState::Gone);
     gone.then(|| NextStage::new(Stage::Removed, "the endpoint list no longer contains it"))
 }
@@ -214,7 +214,7 @@
     let position = (requested_at(node)?, number);
     let earliest = nodes
         .iter()
-        .filter(|(_, other)| other.facts.zone == node.facts.zone)
+        .filter(|(_, other)| other.attributes.zone == node.attributes.zone)
         .filter_map(|(number, other)| Some((requested_at(other)?, number)))
         .filter(|other| *other < position)
         .min();
@@ -224,7 +224,7 @@
 /// Returns the unavailable nodes of the same zone, as far as they are known to the membership, and why
 /// each is unavailable.
 fn conflicts(nodes: &NodeTable, number: u32) -> Vec<(u32, ExclusionReason)> {
-    let zone = |node: u32| nodes.get(node).map(|node| node.facts.zone.clone());
+    let zone = |node: u32| nodes.get(node).map(|node| node.attributes.zone.clone());
     let excluded = nodes.iter().filter_map(|(number, node)| {
         let draining = node
             .blocks_new_requests()
--- a/crates/membership/src/drains/status.rs
+++ b/crates/membership/src/drains/status.rs
@@ -3,8 +3,8 @@
 //! [`Membership`](super::Membership) calls [`StatusRules`] for each node that changed.
 
 use super::nodes::Node;
-use crate::answers::Answers;
-use crate::list_reading::ListEntry;
+use crate::answers::ResponseHealth;
+use crate::list_entry::ListEntry;
 use crate::node_status::{Evidence, NodeStatus};
 use grebecleat_catalog::admission::ExclusionReason;
 use grebecleat_catalog::records::Stage;
@@ -25,14 +25,14 @@
     /// Returns when a node that is warming up has its full capacity. `None` if it is not warming up.
     pub fn warm_at(&self, node: &Node) -> Option<Duration> {
         let warming = node.status == NodeStatus::Warming;
-        let entry = node.list_reading().filter(|_| warming);
+        let entry = node.list_entry().filter(|_| warming);
         Some(entry?.started? + self.warm_up_time)
     }
 
     /// Returns the evidence on a node. `now` is the time of this process's clock, and `wall` the
     /// wall-clock time since 1970.
     pub fn evidence(&self, now: Duration, wall: Duration, node: &Node) -> Evidence {
-        let entry = node.list_reading().unwrap_or_default();
+        let entry = node.list_entry().unwrap_or_default();
         let warm_at = entry.started.map(|started| started + self.warm_up_time);
         Evidence {
             drain: node.drain_stage(),
@@ -61,14 +61,14 @@
 /// Returns the best health that any host reports of a node's current incarnation. One good report
 /// outweighs any number of bad ones: if the node responds well to one host, the fault is on the
 /// network path of the others.
-fn best_answers(node: &Node, incarnation: u64) -> Answers {
+fn best_answers(node: &Node, incarnation: u64) -> ResponseHealth {
     let reports = node.reports.values().map(|report| report.observation);
     let current = reports.filter(|observation| observation.incarnation == incarnation);
     let answers = current.map(|observation| observation.answers);
     let best = answers.max_by_key(|answers| match answers {
-        Answers::None => 0,
-        Answers::Bad => 1,
-        Answers::Good => 2,
+        ResponseHealth::None => 0,
+        ResponseHealth::Bad => 1,
+        ResponseHealth::Good => 2,
     });
     best.unwrap_or_default()
 }
--- a/crates/membership/src/drains/view.rs
+++ b/crates/membership/src/drains/view.rs
@@ -3,10 +3,10 @@
 //! The catalog service reads them to answer queries about nodes and drains.
 
 use super::drain_state::DrainState;
-use super::messages::NodeFacts;
+use super::messages::NodeAttributes;
 use super::nodes::{Node, NodeTable};
 use super::Membership;
-use crate::list_reading::ListEntry;
+use crate::list_entry::ListEntry;
 use crate::node_status::{NodeStatus, StatusSource};
 use grebecleat_catalog::feed::HostNumber;
 use grebecleat_catalog::records::Stage;
@@ -49,13 +49,13 @@
     /// The node's number.
     pub node: u32,
     /// The node's attributes in the catalog.
-    pub facts: &'a NodeFacts,
+    pub attributes: &'a NodeAttributes,
     /// The node's status.
     pub status: NodeStatus,
     /// The source that decided the status.
-    pub authority: StatusSource,
+    pub status_source: StatusSource,
     /// The node's entry in the endpoint list that takes precedence among those of all hosts.
-    pub list_reading: ListEntry,
+    pub list_entry: ListEntry,
     /// Time since the node's process started. `None` if it started long ago or the time is unknown.
     pub uptime: Option<Duration>,
     /// The node's drain, if there is one.
@@ -101,17 +101,17 @@
     }
 
     fn node_view<'a>(&'a self, number: u32, node: &'a Node, unmet: f64) -> NodeView<'a> {
-        let list_reading = node.list_reading().unwrap_or_default();
-        let uptime = list_reading
+        let list_entry = node.list_entry().unwrap_or_default();
+        let uptime = list_entry
             .started
             .map(|started| self.now.saturating_sub(started));
         let drain = node.drain.as_ref();
         NodeView {
             node: number,
-            facts: &node.facts,
+            attributes: &node.attributes,
             status: node.status,
-            authority: node.authority,
-            list_reading,
+            status_source: node.status_source,
+            list_entry,
             uptime,
             drain: drain.map(|drain| self.drain_view(number, node, drain, unmet)),
         }
@@ -176,7 +176,7 @@
         let serves = matches!(other.status, NodeStatus::Ready | NodeStatus::Warming);
         other_number != number
             && other.in_catalog
-            && other.facts.shard == node.facts.shard
+            && other.attributes.shard == node.attributes.shard
             && other.drain.is_none()
             && serves
     };
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -11,5 +11,5 @@
 
 pub mod answers;
 pub mod drains;
-pub mod list_reading;
+pub mod list_entry;
 pub mod node_status;
--- a/crates/membership/src/list_reading.rs
+++ b/crates/membership/src/list_entry.rs
@@ -7,7 +7,7 @@
 pub enum ListedState {
     /// The list has never contained the node.
     #[default]
-    Never,
+    NeverListed,
     /// The node accepts requests.
     Ready,
     /// The node must not be sent new requests.
--- a/crates/membership/src/node_status.rs
+++ b/crates/membership/src/node_status.rs
@@ -9,8 +9,8 @@
 //! responds well. Bad responses take precedence over the process's age in the list, since the end of
 //! the warm-up does not help a node that fails every attempt.
 
-use crate::answers::Answers;
-use crate::list_reading::ListedState;
+use crate::answers::ResponseHealth;
+use crate::list_entry::ListedState;
 use grebecleat_catalog::records::Stage;
 use std::fmt;
 
@@ -58,7 +58,7 @@
     /// The node's state in the endpoint list.
     pub listed: ListedState,
     /// How well the node responds to attempts.
-    pub answers: Answers,
+    pub answers: ResponseHealth,
     /// Whether the node started so recently that it does not have its full capacity yet.
     pub warming: bool,
     /// Whether the node's process started after the node was removed.
@@ -73,7 +73,7 @@
     /// The required state in the endpoint list.
     pub listed: Option<ListedState>,
     /// The required responses to attempts.
-    pub answers: Option<Answers>,
+    pub answers: Option<ResponseHealth>,
     /// Whether the node must be warming up.
     pub warming: Option<bool>,
     /// Whether the node must have started after its removal.
@@ -81,7 +81,7 @@
     /// The status of the node if the rule matches.
     pub status: NodeStatus,
     /// The source of evidence that the rule follows.
-    pub authority: StatusSource,
+    pub status_source: StatusSource,
 }
 
 const fn drain_rule(drain: Option<Stage>, status: NodeStatus) -> PrecedenceRule {
@@ -92,14 +92,14 @@
         warming: None,
         restarted_after_removal: None,
         status,
-        authority: StatusSource::Operators,
+        status_source: StatusSource::Operators,
     }
 }
 
 const fn list_rule(listed: ListedState, status: NodeStatus) -> PrecedenceRule {
     PrecedenceRule {
         listed: Some(listed),
-        authority: StatusSource::EndpointList,
+        status_source: StatusSource::EndpointList,
         ..drain_rule(None, status)
     }
 }
@@ -110,7 +110,7 @@
     PrecedenceRule {
         listed: Some(ListedState::Ready),
         restarted_after_removal: Some(true),
-        authority: StatusSource::EndpointList,
+        status_source: StatusSource::EndpointList,
         ..drain_rule(Some(Stage::Removed), NodeStatus::Returned)
     },
     drain_rule(Some(Stage::Removed), NodeStatus::Removed),
@@ -118,12 +118,12 @@
     // This rule also covers a process that starts while the node is draining: a drain applies to
     // the machine, not to one process.
     drain_rule(Some(Stage::Draining), NodeStatus::Draining),
-    list_rule(ListedState::Never, NodeStatus::Unknown),
+    list_rule(ListedState::NeverListed, NodeStatus::Unknown),
     list_rule(ListedState::Gone, NodeStatus::Removed),
     list_rule(ListedState::Draining, NodeStatus::Draining),
     PrecedenceRule {
-        answers: Some(Answers::Bad),
-        authority: StatusSource::Responses,
+        answers: Some(ResponseHealth::Bad),
+        status_source: StatusSource::Responses,
         ..list_rule(ListedState::Ready, NodeStatus::Suspect)
     },
     PrecedenceRule {
@@ -131,8 +131,8 @@
         ..list_rule(ListedState::Ready, NodeStatus::Warming)
     },
     PrecedenceRule {
-        answers: Some(Answers::Good),
-        authority: StatusSource::Responses,
+        answers: Some(ResponseHealth::Good),
+        status_source: StatusSource::Responses,
         ..list_rule(ListedState::Ready, NodeStatus::Ready)
     },
     list_rule(ListedState::Ready, NodeStatus::Ready),
@@ -182,7 +182,7 @@
 pub fn node_status(evidence: &Evidence) -> (NodeStatus, StatusSource) {
     let rule = PRECEDENCE.iter().find(|rule| rule.matches(evidence));
     rule.map_or((NodeStatus::Unknown, StatusSource::NoEvidence), |rule| {
-        (rule.status, rule.authority)
+        (rule.status, rule.status_source)
     })
 }
 
--- a/crates/membership/tests/drains/fixture.rs
+++ b/crates/membership/tests/drains/fixture.rs
@@ -4,7 +4,7 @@
 use grebecleat_catalog::feed::HostNumber;
 use grebecleat_catalog::records::{Drain, Stage, Version};
 use grebecleat_membership::drains::*;
-use grebecleat_membership::list_reading::ListedState;
+use grebecleat_membership::list_entry::ListedState;
 use grebecleat_membership::node_status::NodeStatus;
 use std::time::Duration;
 
@@ -59,7 +59,7 @@
             let zone = if number < 3 { "room-a" } else { "room-b" }.into();
             Event::Node {
                 node: number,
-                to: Some(NodeFacts {
+                to: Some(NodeAttributes {
                     name,
                     zone,
                     shard: number,
--- a/crates/membership/tests/drains/precedence.rs
+++ b/crates/membership/tests/drains/precedence.rs
@@ -1,11 +1,11 @@
 //! Tests the precedence of the sources of evidence on a node's status.
 
 use grebecleat_catalog::records::Stage::{self, Drained, Draining, Queued, Removed};
-use grebecleat_membership::answers::Answers;
-use grebecleat_membership::list_reading::ListedState;
+use grebecleat_membership::answers::ResponseHealth;
+use grebecleat_membership::list_entry::ListedState;
 use grebecleat_membership::node_status::{node_status, Evidence, NodeStatus, StatusSource};
 
-fn evidence(drain: Option<Stage>, listed: ListedState, answers: Answers) -> Evidence {
+fn evidence(drain: Option<Stage>, listed: ListedState, answers: ResponseHealth) -> Evidence {
     Evidence {
         drain,
         listed,
@@ -30,14 +30,14 @@
 
 #[test]
 fn the_source_with_precedence_decides_the_status() {
-    use Answers::{Bad, Good, None as Unknown};
-    use ListedState::{Gone, Never, Ready};
+    use ListedState::{Gone, NeverListed, Ready};
     use NodeStatus as Status;
+    use ResponseHealth::{Bad, Good, None as Unknown};
     use StatusSource::{EndpointList, Operators, Responses};
     let listed = |listed, answers| evidence(None, listed, answers);
     let drained = |stage, listed, answers| evidence(Some(stage), listed, answers);
     let cases = [
-        (listed(Never, Unknown), Status::Unknown, EndpointList),
+        (listed(NeverListed, Unknown), Status::Unknown, EndpointList),
         (listed(Ready, Unknown), Status::Ready, EndpointList),
         (listed(Ready, Good), Status::Ready, Responses),
         (warming(listed(Ready, Good)), Status::Warming, EndpointList),
@@ -74,7 +74,11 @@
             Operators,
         ),
     ];
-    for (evidence, status, authority) in cases {
-        assert_eq!(node_status(&evidence), (status, authority), "{evidence:?}");
+    for (evidence, status, status_source) in cases {
+        assert_eq!(
+            node_status(&evidence),
+            (status, status_source),
+            "{evidence:?}"
+        );
     }
 }
--- a/crates/membership/tests/drains/stages.rs
+++ b/crates/membership/tests/drains/stages.rs
@@ -4,7 +4,7 @@
 use grebecleat_catalog::admission::ExclusionReason;
 use grebecleat_catalog::records::{Stage, Version};
 use grebecleat_membership::drains::{Action, Event, NodeObservation, Phase};
-use grebecleat_membership::list_reading::ListedState;
+use grebecleat_membership::list_entry::ListedState;
 use grebecleat_membership::node_status::NodeStatus;
 
 /// Returns a fixture in which node 1 is drained: every host is notified and quiescent.
--- a/crates/membership/tests/drains/zones.rs
+++ b/crates/membership/tests/drains/zones.rs
@@ -2,7 +2,7 @@
 
 use crate::fixture::*;
 use grebecleat_catalog::records::Stage;
-use grebecleat_membership::answers::Answers;
+use grebecleat_membership::answers::ResponseHealth;
 use grebecleat_membership::node_status::NodeStatus;
 
 #[test]
@@ -35,13 +35,13 @@
     assert_eq!(fixture.phase(4), waiting("node 3 drains"));
     fixture.committed.clear();
     // The earlier drain ends, but its node is suspect and still blocks the drain.
-    fixture.report(H1, 3, |seen| seen.answers = Answers::Bad);
+    fixture.report(H1, 3, |seen| seen.answers = ResponseHealth::Bad);
     fixture.drain(3, None, seconds(0));
     assert_eq!(
         (fixture.phase(4), fixture.committed.len()),
         (waiting("node 3 does not answer as it should"), 0)
     );
-    fixture.report(H1, 3, |seen| seen.answers = Answers::Good);
+    fixture.report(H1, 3, |seen| seen.answers = ResponseHealth::Good);
     assert_eq!(
         fixture.committed,
         [(4, Some(Stage::Draining), "no conflict in its zone".into())]
--- a/crates/membership/tests/explore/model.rs
+++ b/crates/membership/tests/explore/model.rs
@@ -5,9 +5,9 @@
 use grebecleat_catalog::admission::{excluded_in_zone, ExclusionReason};
 use grebecleat_catalog::feed::HostNumber;
 use grebecleat_catalog::records::{Drain, Stage, Version};
-use grebecleat_membership::answers::Answers;
-use grebecleat_membership::drains::{Action, Event, Membership, NodeFacts, NodeObservation};
-use grebecleat_membership::list_reading::ListedState;
+use grebecleat_membership::answers::ResponseHealth;
+use grebecleat_membership::drains::{Action, Event, Membership, NodeAttributes, NodeObservation};
+use grebecleat_membership::list_entry::ListedState;
 use std::collections::HashSet;
 use std::time::Duration;
 
@@ -108,14 +108,14 @@
             version: Version(world.version),
         }];
         for node in 0..NODES {
-            let facts = NodeFacts {
+            let attributes = NodeAttributes {
                 zone: "a".into(),
                 shard: node as u32,
-                ..NodeFacts::default()
+                ..NodeAttributes::default()
             };
             events.push(Event::Node {
                 node: node as u32,
-                to: Some(facts),
+                to: Some(attributes),
             });
             let drain = world.drains[node].map(|stage| Drain {
                 stage,
@@ -223,7 +223,7 @@
             incarnation,
             age: started.map(|started| ticks(world.now - started)),
             revision: incarnation * 2 + u64::from(listed == ListedState::Gone),
-            answers: Answers::None,
+            answers: ResponseHealth::None,
             catalog_version: applied,
             attempts: u32::from(host.attempt.is_some()),
             unresolved_for,
--- a/crates/membership/tests/explore/successors.rs
+++ b/crates/membership/tests/explore/successors.rs
@@ -5,7 +5,7 @@
 use grebecleat_catalog::feed::HostNumber;
 use grebecleat_catalog::records::{Stage, Version};
 use grebecleat_membership::drains::Event;
-use grebecleat_membership::list_reading::ListedState;
+use grebecleat_membership::list_entry::ListedState;
 
 /// An operator's change of a drain.
 struct OperatorChange {
--- a/crates/membership/tests/explore/world.rs
+++ b/crates/membership/tests/explore/world.rs
@@ -3,7 +3,7 @@
 use grebecleat_catalog::admission::ExclusionReason;
 use grebecleat_catalog::records::{Drain, Stage, Version};
 use grebecleat_membership::drains::{Event, Membership, NodeObservation};
-use grebecleat_membership::list_reading::ListedState;
+use grebecleat_membership::list_entry::ListedState;
 use grebecleat_membership::node_status::NodeStatus;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -15,10 +15,10 @@
 
 pub use descriptors::Descriptors;
 pub use error::{ConfigError, SettingsError, ValueError};
-pub use settings::{ClassProtocol, DISCOVERY_TERM};
+pub use settings::{ClassProtocol, MAX_LIST_STALENESS};
 
 use document::{flatten, Document};
-use grebecleat_adapter::settings::Pairs;
+use grebecleat_adapter::settings::SettingValues;
 use grebecleat_settings::Settings;
 use serde_json::Value;
 use settings::{read_settings, Process};
@@ -101,7 +101,7 @@
             memory_mb,
             descriptors: Descriptors::of(sockets),
         };
-        let read = read_settings(&process, &Pairs::of(pairs))
+        let read = read_settings(&process, &SettingValues::of(pairs))
             .map_err(|error| document.error("settings", error.into()))?;
         let descriptors = process.descriptors;
         Ok(Config {
--- a/crates/platform/src/config/settings.rs
+++ b/crates/platform/src/config/settings.rs
@@ -2,9 +2,11 @@
 
 use super::descriptors::Descriptors;
 use super::error::SettingsError;
-use grebecleat_adapter::settings::{self as bench, Pairs};
+use grebecleat_adapter::settings::{self as bench, SettingValues};
 use grebecleat_scheduler::api::{DiscoveryPolicy, Idempotency, Plan, TrafficClass};
-use grebecleat_settings::{Bounds, HostSpec, ListSpec, NamedPlan, Rules, Settings, Stream};
+use grebecleat_settings::{
+    Bounds, DiscoverySpec, HostSpec, PlanSpec, Rules, Settings, TrafficClassSpec,
+};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -39,7 +41,7 @@
 /// it. The lease of the endpoint list is this time less `MAX_DISPATCH_DELAY`, for which an attempt
 /// may wait before it is written. A larger value uses stale lists; a smaller one costs discovery more
 /// calls.
-pub const DISCOVERY_TERM: Duration = Duration::from_millis(6000);
+pub const MAX_LIST_STALENESS: Duration = Duration::from_millis(6000);
 
 /// The protocol requirements on the requests of a traffic class, which the scheduler does not need.
 #[derive(Debug, Clone)]
@@ -88,7 +90,7 @@
 /// returned.
 pub(super) fn read_settings(
     process: &Process,
-    pairs: &Pairs,
+    pairs: &SettingValues,
 ) -> Result<ReadSettings, SettingsError> {
     let classes = bench::traffic_classes(pairs)?;
     let plans = bench::plans(pairs)?;
@@ -125,7 +127,7 @@
             zone: 0,
             listen: Some(process.listen),
         }],
-        list: ListSpec {
+        list: DiscoverySpec {
             address: Some(process.discovery),
             rule,
             lag: Duration::ZERO,
@@ -147,7 +149,7 @@
     })
 }
 
-fn read_caps(pairs: &Pairs, dial_timeout: Duration) -> Result<Caps, SettingsError> {
+fn read_caps(pairs: &SettingValues, dial_timeout: Duration) -> Result<Caps, SettingsError> {
     let max_open = pairs.count("caps.max-open")?;
     let node_idle = pairs.duration("caps.conn-idle-ms")?;
     Ok(Caps {
@@ -158,10 +160,10 @@
 }
 
 fn read_classes(
-    pairs: &Pairs,
+    pairs: &SettingValues,
     classes: Vec<TrafficClass>,
     dial_timeout: Duration,
-) -> Result<(Vec<ClassProtocol>, Vec<Stream>), SettingsError> {
+) -> Result<(Vec<ClassProtocol>, Vec<TrafficClassSpec>), SettingsError> {
     let writes: Vec<&str> = pairs.text("family-info.writes").split(',').collect();
     let mut protocols = Vec::new();
     let mut streams = Vec::new();
@@ -184,7 +186,7 @@
             requires_key: matches!(facts.idempotency, Idempotency::WithKey { .. }),
             write,
         });
-        streams.push(Stream {
+        streams.push(TrafficClassSpec {
             name,
             facts,
             deadline,
@@ -196,16 +198,16 @@
     Ok((protocols, streams))
 }
 
-fn name_plans(pairs: &Pairs, plans: Vec<Plan>) -> Result<Vec<NamedPlan>, SettingsError> {
+fn name_plans(pairs: &SettingValues, plans: Vec<Plan>) -> Result<Vec<PlanSpec>, SettingsError> {
     let mut named = Vec::new();
     for (index, facts) in plans.into_iter().enumerate() {
         let name = read_name(pairs, "plans", index)?;
-        named.push(NamedPlan { name, facts });
+        named.push(PlanSpec { name, facts });
     }
     Ok(named)
 }
 
-fn read_name(pairs: &Pairs, list: &str, index: usize) -> Result<String, SettingsError> {
+fn read_name(pairs: &SettingValues, list: &str, index: usize) -> Result<String, SettingsError> {
     let path = format!("{list}.{index}.name");
     match pairs.text(&path) {
         "" => Err(SettingsError::MissingName { path }),
@@ -213,12 +215,12 @@
     }
 }
 
-fn read_rules(pairs: &Pairs) -> Result<Rules, SettingsError> {
+fn read_rules(pairs: &SettingValues) -> Result<Rules, SettingsError> {
     Ok(Rules {
         drain_grace: pairs.duration("rules.drain-grace-ms")?,
         cold: bench::slow_start_policy(pairs)?,
         attempts: bench::retry_budget(pairs)?,
-        key_rest: bench::key_cooldown(pairs)?,
+        key_cool_down: bench::key_cooldown(pairs)?,
         answer_margin: RESPONSE_MARGIN,
     })
 }
@@ -244,12 +246,13 @@
     }
 }
 
-fn discovery_policy(pairs: &Pairs) -> Result<DiscoveryPolicy, SettingsError> {
+fn discovery_policy(pairs: &SettingValues) -> Result<DiscoveryPolicy, SettingsError> {
     let policy = bench::discovery_policy(pairs)?;
-    let poll_interval = default_if_zero(policy.poll_interval, DISCOVERY_TERM).min(DISCOVERY_TERM);
+    let poll_interval =
+        default_if_zero(policy.poll_interval, MAX_LIST_STALENESS).min(MAX_LIST_STALENESS);
     Ok(DiscoveryPolicy {
         poll_interval,
-        lease: Some(DISCOVERY_TERM - MAX_DISPATCH_DELAY),
+        lease: Some(MAX_LIST_STALENESS - MAX_DISPATCH_DELAY),
         ..policy
     })
 }
--- a/crates/platform/src/run/owner.rs
+++ b/crates/platform/src/run/owner.rs
@@ -25,7 +25,7 @@
 use super::shutdown::{ListenerClosing, Shutdown};
 use super::statistics_log::StatisticsLog;
 use super::sweep::{Expired, ShutdownPhase, REQUEST_TIMEOUT, SWEEP_INTERVAL};
-use crate::config::{Config, DISCOVERY_TERM};
+use crate::config::{Config, MAX_LIST_STALENESS};
 use grebecleat_discovery::calls::CALL_TIMEOUT;
 use grebecleat_discovery::long_polling::{Event as PollingEvent, PollConn};
 use grebecleat_host::router::{ConnId, Counters, Input, Output, RequestRouter};
@@ -79,7 +79,7 @@
     ) -> Self {
         let router = RequestRouter::new(config.settings.clone(), config.seed)
             .with_exclusive_connections()
-            .with_poll_deadline(DISCOVERY_TERM, CALL_TIMEOUT);
+            .with_poll_deadline(MAX_LIST_STALENESS, CALL_TIMEOUT);
         let now = clock::now();
         let settings = &config.settings;
         let poll_interval = settings.list.rule.poll_interval;
--- a/crates/platform/src/run/owner/receive.rs
+++ b/crates/platform/src/run/owner/receive.rs
@@ -248,7 +248,8 @@
             }),
             PollingAction::End { conn } => {
                 let conn = ConnId(conn.0);
-                self.inputs.push(Input::DiscoveryEnded { conn });
+                self.inputs
+                    .push(Input::DiscoveryClosedAfterResponse { conn });
                 self.close(conn, CloseReason::AnsweredLast);
             }
             PollingAction::Drop { conn } => {
@@ -306,7 +307,7 @@
             conn = conn.0,
             call = outstanding.call.kind(),
             known_revision = outstanding.call.known_revision(),
-            elapsed_ms = now.saturating_sub(outstanding.begun).as_millis() as u64,
+            elapsed_ms = now.saturating_sub(outstanding.sent_at).as_millis() as u64,
             bytes,
             revision = endpoints.revision,
             entries = endpoints.list.endpoints.len(),
@@ -333,7 +334,7 @@
         error: &DiscoveryError,
     ) {
         if self.may_log() {
-            let elapsed = clock::now().saturating_sub(outstanding.begun);
+            let elapsed = clock::now().saturating_sub(outstanding.sent_at);
             info!(
                 conn = conn.0,
                 call = outstanding.call.kind(),
--- a/crates/platform/src/run/sweep.rs
+++ b/crates/platform/src/run/sweep.rs
@@ -119,7 +119,7 @@
         Role::Client(client) => client_expiry(connection, client),
         Role::Discovery => {
             let outstanding = discovery.outstanding(conn);
-            outstanding.map_or(Expiry::Never, |call| Expiry::Close(call.give_up_at()))
+            outstanding.map_or(Expiry::Never, |call| Expiry::Close(call.close_at()))
         }
     }
 }
--- a/crates/platform/src/statistics.rs
+++ b/crates/platform/src/statistics.rs
@@ -9,7 +9,7 @@
 use grebecleat_host::router::Counters;
 use grebecleat_scheduler::api::NodeState;
 use grebecleat_scheduler::rejection_stats::{
-    PaidBy, RejectionCause, RejectionReason, LAST_SUCCESS_STEPS,
+    RejectionCause, RejectionReason, TokenSource, LAST_SUCCESS_STEPS,
 };
 use grebecleat_scheduler::scheduler::Scheduler;
 use std::collections::{BTreeMap, BTreeSet};
@@ -55,10 +55,10 @@
         RejectionReason::Blocked(block) => format!("{block:?}"),
         other => format!("{other:?}"),
     };
-    let payer = match cause.paid_by {
-        PaidBy::Reservation => "reserve",
-        PaidBy::Share => "share",
-        PaidBy::Nothing => "nobody",
+    let payer = match cause.token_source {
+        TokenSource::Reservation => "reserve",
+        TokenSource::Share => "share",
+        TokenSource::Nothing => "nobody",
     };
     let last_success = LAST_SUCCESS_STEPS
         .get(cause.last_success)
--- a/crates/platform/tests/poll_deadline/discovery.rs
+++ b/crates/platform/tests/poll_deadline/discovery.rs
@@ -84,14 +84,14 @@
     pub fn make_call(&mut self, host: usize, conn: u64, call: Option<Call>) {
         let Some(call) = call else { return };
         self.calls.push(self.now);
-        let answer_by = self.schedule_sweep(host, conn, call);
+        let timeout_at = self.schedule_sweep(host, conn, call);
         match self.outage() {
             Some(OutageKind::Refuses) => return self.refuse(host, conn, self.now + LATENCY),
             Some(_) => return,
             None => {}
         }
         if self.is_forced_to_fail(host) {
-            return self.fail(host, conn, answer_by);
+            return self.fail(host, conn, timeout_at);
         }
         let begins = self.free_at.max(self.now);
         if begins > self.now + QUEUE_TIMEOUT {
@@ -112,7 +112,7 @@
                 let worst_case = self.scenario.forced_failures.is_some()
                     && self.now >= START + self.scenario.change_at;
                 let at = if worst_case {
-                    answer_by - LATEST_RESPONSE_MARGIN
+                    timeout_at - LATEST_RESPONSE_MARGIN
                 } else {
                     self.free_at
                 };
@@ -126,26 +126,26 @@
     fn schedule_sweep(&mut self, host: usize, conn: u64, call: Call) -> Duration {
         let state = &self.hosts[host];
         let link = state.link.as_ref();
-        let answer_by = link.and_then(|link| Some(link.calls.outstanding()?.answer_by));
-        let answer_by = answer_by.unwrap_or(self.now);
+        let timeout_at = link.and_then(|link| Some(link.calls.outstanding()?.timeout_at));
+        let timeout_at = timeout_at.unwrap_or(self.now);
         // The timeout of a call on a new connection begins with its dial.
         let after_dial = state.call_begun_at + CALL_TIMEOUT;
         let late = SWEEP_INTERVAL.mul_f64(self.rng.random());
-        self.schedule(answer_by + late, host, FleetEvent::Sweep { conn });
+        self.schedule(timeout_at + late, host, FleetEvent::Sweep { conn });
         if self.has_poll_deadline && call == Call::Complete {
-            answer_by.min(after_dial)
+            timeout_at.min(after_dial)
         } else {
-            answer_by
+            timeout_at
         }
     }
 
     /// Makes the call fail: without a response, or with a refusal at once or as late as possible.
-    fn fail(&mut self, host: usize, conn: u64, answer_by: Duration) {
+    fn fail(&mut self, host: usize, conn: u64, timeout_at: Duration) {
         self.hosts[host].forced_failures += 1;
         match self.rng.random_range(0..3) {
             0 => {}
             1 => self.refuse(host, conn, self.now + LATENCY),
-            _ => self.refuse(host, conn, answer_by - LATEST_RESPONSE_MARGIN),
+            _ => self.refuse(host, conn, timeout_at - LATEST_RESPONSE_MARGIN),
         }
     }
 
--- a/crates/platform/tests/poll_deadline/fleet.rs
+++ b/crates/platform/tests/poll_deadline/fleet.rs
@@ -7,7 +7,7 @@
 use grebecleat_host::log_event::LogEvent;
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
-use grebecleat_platform::config::{Config, DISCOVERY_TERM};
+use grebecleat_platform::config::{Config, MAX_LIST_STALENESS};
 use grebecleat_scheduler::api::{LogEvent as SchedulerEvent, PeerId};
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -191,7 +191,7 @@
         let mut router =
             RequestRouter::new(self.settings.clone(), seed).with_exclusive_connections();
         if self.has_poll_deadline {
-            router = router.with_poll_deadline(DISCOVERY_TERM, CALL_TIMEOUT);
+            router = router.with_poll_deadline(MAX_LIST_STALENESS, CALL_TIMEOUT);
         }
         Host {
             router,
@@ -244,10 +244,10 @@
             }
             FleetEvent::Sweep { conn } => {
                 let link = self.hosts[host].link.as_ref();
-                let answer_by = link
+                let timeout_at = link
                     .filter(|link| link.conn == conn)
-                    .and_then(|link| Some(link.calls.outstanding()?.answer_by));
-                if answer_by.is_some_and(|answer_by| self.now >= answer_by) {
+                    .and_then(|link| Some(link.calls.outstanding()?.timeout_at));
+                if timeout_at.is_some_and(|timeout_at| self.now >= timeout_at) {
                     self.close_link(host, conn);
                 }
             }
@@ -307,7 +307,7 @@
         self.hosts[host].call_begun_at = self.now;
         let link = self.hosts[host].link.as_mut().expect("looked up before");
         let event = Event::Answered { revision };
-        let call = link.calls.step(self.now, DISCOVERY_TERM, event);
+        let call = link.calls.step(self.now, MAX_LIST_STALENESS, event);
         self.make_call(host, conn, call);
         let conn = ConnId(conn);
         self.step(host, vec![Input::DiscoveryFrames { conn, frames }]);
@@ -379,7 +379,7 @@
         for body in batch.frames.into_iter().filter_map(|frame| frame.body) {
             if let Body::Watch(watch) = body {
                 let event = Event::Watch { on: watch.on };
-                let next = link.calls.step(now, DISCOVERY_TERM, event);
+                let next = link.calls.step(now, MAX_LIST_STALENESS, event);
                 call = call.or(next);
             }
         }
@@ -396,7 +396,7 @@
             Some(at) => at.saturating_sub(change_at),
             None => self.scenario.until,
         };
-        let is_late = |host: &&Host| delay(host) > DISCOVERY_TERM;
+        let is_late = |host: &&Host| delay(host) > MAX_LIST_STALENESS;
         let counted = self.calls.iter().copied();
         let counted: Vec<Duration> = counted.filter(|at| *at > START + COUNTED_AFTER).collect();
         let in_second = |from: &Duration| {
--- a/crates/platform/tests/poll_deadline/main.rs
+++ b/crates/platform/tests/poll_deadline/main.rs
@@ -9,7 +9,7 @@
 mod scenarios;
 
 use fleet::{Fleet, Outcome};
-use grebecleat_platform::config::DISCOVERY_TERM;
+use grebecleat_platform::config::MAX_LIST_STALENESS;
 use scenarios::{scenarios, Scenario, BASELINE};
 use std::time::Duration;
 
@@ -86,7 +86,7 @@
         "calls without a response: before {total_before:?}, after {total_after:?}"
     );
     assert!(
-        slowest > DISCOVERY_TERM - ms(400),
+        slowest > MAX_LIST_STALENESS - ms(400),
         "the scenarios do not reach the worst case: slowest {slowest:?}"
     );
     let late_without_deadline = total_before.unexpectedly_late;
--- a/crates/scheduler/src/rejection_stats.rs
+++ b/crates/scheduler/src/rejection_stats.rs
@@ -19,7 +19,7 @@
 
 /// The token bucket that would have covered the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum PaidBy {
+pub enum TokenSource {
     /// The volume's reservation.
     Reservation,
     /// The flow's fair share.
@@ -44,7 +44,7 @@
     /// Traffic class of the requests.
     pub traffic_class: TrafficClassId,
     /// The token bucket that would have covered them.
-    pub paid_by: PaidBy,
+    pub token_source: TokenSource,
     /// Time since their node last completed an attempt, as the index of the first of [`LAST_SUCCESS_STEPS`]
     /// that is not exceeded; the length of the array if all are exceeded or the node never completed one.
     pub last_success: usize,
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -110,7 +110,7 @@
 }
 
 impl Scheduler {
-    /// Returns a scheduler without the policies of [`Scheduler::with_rules`]. Its first step counts as the
+    /// Returns a scheduler without the policies of [`Scheduler::with_policies`]. Its first step counts as the
     /// host's start.
     pub fn new(
         seed: u64,
@@ -148,7 +148,7 @@
 
     /// Sets the slow-start policy, the discovery policy, the retry budget and the key cool-down.
     /// `key_cooldown`: time for which a key is blocked after an attempt that may still be running.
-    pub fn with_rules(
+    pub fn with_policies(
         mut self,
         slow_start: SlowStartPolicy,
         discovery: DiscoveryPolicy,
--- a/crates/scheduler/src/scheduler/rejection_log.rs
+++ b/crates/scheduler/src/scheduler/rejection_log.rs
@@ -6,7 +6,8 @@
 use super::dispatch::DispatchView;
 use crate::api::{BlockReason, RequestId};
 use crate::rejection_stats::{
-    PaidBy, RejectedRequest, RejectionCause, RejectionCounts, RejectionReason, LAST_SUCCESS_STEPS,
+    RejectedRequest, RejectionCause, RejectionCounts, RejectionReason, TokenSource,
+    LAST_SUCCESS_STEPS,
 };
 use crate::state::{DesiredState, Node, PendingRequest};
 use std::time::Duration;
@@ -50,20 +51,20 @@
     RejectionCause {
         reason: rejection_reason(view, pending, endpoint),
         traffic_class: pending.request.traffic_class,
-        paid_by: paid_by(view, pending, node),
+        token_source: token_source(view, pending, node),
         last_success: last_success_step(node, view.now),
     }
 }
 
-fn paid_by(view: &DispatchView, pending: &PendingRequest, node: Option<&Node>) -> PaidBy {
+fn token_source(view: &DispatchView, pending: &PendingRequest, node: Option<&Node>) -> TokenSource {
     let volume = view.volumes.get(pending.request.volume);
     if volume.is_some_and(|volume| volume.reservation.has_tokens()) {
-        return PaidBy::Reservation;
+        return TokenSource::Reservation;
     }
     let share = node.and_then(|node| node.share_level(pending.request.volume));
     match share.is_none_or(|level| level > 0.0) {
-        true => PaidBy::Share,
-        false => PaidBy::Nothing,
+        true => TokenSource::Share,
+        false => TokenSource::Nothing,
     }
 }
 
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -160,7 +160,7 @@
     retry_budget: Option<RetryBudget>,
 ) -> Scheduler {
     let mut scheduler = Scheduler::new(7, traffic_classes, plans, units(), host_limits())
-        .with_rules(
+        .with_policies(
             slow_start_policy(),
             discovery_policy(false),
             retry_budget,
--- a/crates/scheduler/tests/endpoint_lease.rs
+++ b/crates/scheduler/tests/endpoint_lease.rs
@@ -21,7 +21,7 @@
     };
     let classes = vec![class_with(Idempotency::Idempotent)];
     let plans = vec![plan(100.0)];
-    Scheduler::new(7, classes, plans, units(), host_limits()).with_rules(
+    Scheduler::new(7, classes, plans, units(), host_limits()).with_policies(
         slow_start_policy(),
         discovery,
         None,
--- a/crates/scheduler/tests/endpoint_updates.rs
+++ b/crates/scheduler/tests/endpoint_updates.rs
@@ -47,7 +47,7 @@
         units(),
         host_limits(),
     )
-    .with_rules(slow_start_policy(), discovery, None, ms(0));
+    .with_policies(slow_start_policy(), discovery, None, ms(0));
     let mut calls_at = Vec::new();
     for t in (1000..40_000).step_by(10) {
         let failed = calls_at.last() == Some(&(t - 10)) && calls_at.len() < 6;
--- a/crates/scheduler/tests/robustness.rs
+++ b/crates/scheduler/tests/robustness.rs
@@ -69,7 +69,7 @@
             units(),
             host_limits(),
         )
-        .with_rules(policy, discovery, None, ms(0));
+        .with_policies(policy, discovery, None, ms(0));
         let endpoints = (1..=nodes)
             .map(|n| endpoint(n, NodeState::Ready, Some(ms(900))))
             .collect();
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -46,7 +46,7 @@
     };
     let classes = vec![class_with(Idempotency::Idempotent)];
     let mut scheduler = Scheduler::new(seed, classes, vec![plan(1.0)], units(), host_limits())
-        .with_rules(policy, discovery_policy(false), None, ms(0));
+        .with_policies(policy, discovery_policy(false), None, ms(0));
     let new_node = vec![endpoint(1, NodeState::Ready, Some(ms(START - 1)))];
     let update = endpoint_update(EndpointUpdateKind::Cached, new_node);
     step_at(&mut scheduler, now, vec![update]);
@@ -356,7 +356,7 @@
         let discovery = discovery_policy(false);
         let (traffic_classes, plans) = (vec![class_with(Idempotency::Idempotent)], vec![plan(1.0)]);
         let mut scheduler = Scheduler::new(seed, traffic_classes, plans, units(), host_limits())
-            .with_rules(policy.clone(), discovery, None, ms(0));
+            .with_policies(policy.clone(), discovery, None, ms(0));
         step_at(
             &mut scheduler,
             1000,
--- a/crates/settings/src/kinds.rs
+++ b/crates/settings/src/kinds.rs
@@ -4,7 +4,7 @@
 /// The kind of an injected fault in a rehearsal. The script's seed determines the affected nodes or
 /// hosts, and the strength.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum FaultKind {
     /// Nodes answer some attempts with an error, at once.
     FastErrors,
     /// Nodes lose some answers after the work.
@@ -51,31 +51,31 @@
     WayCut,
 }
 
-impl Kind {
+impl FaultKind {
     /// All kinds by their names.
-    pub const ALL: [(&'static str, Kind); 22] = [
-        ("fast_errors", Kind::FastErrors),
-        ("answer_lost", Kind::AnswerLost),
-        ("mass_restart", Kind::MassRestart),
-        ("hang", Kind::Hang),
-        ("slow", Kind::Slow),
-        ("neighbour", Kind::Neighbour),
-        ("heavy_tail", Kind::HeavyTail),
-        ("hot_key", Kind::HotKey),
-        ("scan", Kind::Scan),
-        ("reconnect", Kind::Reconnect),
-        ("discovery_stale", Kind::DiscoveryStale),
-        ("balancer_crash", Kind::HostCrash),
-        ("balancer_stall", Kind::HostStall),
-        ("ageing", Kind::Ageing),
-        ("drain", Kind::Drain),
-        ("feed_cut", Kind::FeedCut),
-        ("feed_late", Kind::FeedLate),
-        ("state_crash", Kind::StateCrash),
-        ("state_restored", Kind::StateRestored),
-        ("host_cut", Kind::HostCut),
-        ("host_deaf", Kind::HostDeaf),
-        ("way_cut", Kind::WayCut),
+    pub const ALL: [(&'static str, FaultKind); 22] = [
+        ("fast_errors", FaultKind::FastErrors),
+        ("answer_lost", FaultKind::AnswerLost),
+        ("mass_restart", FaultKind::MassRestart),
+        ("hang", FaultKind::Hang),
+        ("slow", FaultKind::Slow),
+        ("neighbour", FaultKind::Neighbour),
+        ("heavy_tail", FaultKind::HeavyTail),
+        ("hot_key", FaultKind::HotKey),
+        ("scan", FaultKind::Scan),
+        ("reconnect", FaultKind::Reconnect),
+        ("discovery_stale", FaultKind::DiscoveryStale),
+        ("balancer_crash", FaultKind::HostCrash),
+        ("balancer_stall", FaultKind::HostStall),
+        ("ageing", FaultKind::Ageing),
+        ("drain", FaultKind::Drain),
+        ("feed_cut", FaultKind::FeedCut),
+        ("feed_late", FaultKind::FeedLate),
+        ("state_crash", FaultKind::StateCrash),
+        ("state_restored", FaultKind::StateRestored),
+        ("host_cut", FaultKind::HostCut),
+        ("host_deaf", FaultKind::HostDeaf),
+        ("way_cut", FaultKind::WayCut),
     ];
 
     /// Returns the kind's name.
@@ -94,14 +94,14 @@
     /// assert_eq!(Kind::read("hang+slow"), Ok(vec![Kind::Hang, Kind::Slow]));
     /// assert_eq!(Kind::read("hang+flood"), Err("flood".to_string()));
     /// ```
-    pub fn read(text: &str) -> Result<Vec<Kind>, String> {
+    pub fn read(text: &str) -> Result<Vec<FaultKind>, String> {
         text.split('+')
             .map(str::trim)
-            .map(|name| Kind::named(name).ok_or_else(|| name.to_string()))
+            .map(|name| FaultKind::named(name).ok_or_else(|| name.to_string()))
             .collect()
     }
 
-    fn named(name: &str) -> Option<Kind> {
+    fn named(name: &str) -> Option<FaultKind> {
         let mut kinds = Self::ALL.iter();
         let (_, kind) = kinds.find(|(kind_name, _)| *kind_name == name)?;
         Some(*kind)
@@ -114,10 +114,10 @@
     /// let found = Kind::find(r#""digest":"i8c21ad: ageing+answer_lost 0.31""#);
     /// assert_eq!(found, vec![Kind::Ageing, Kind::AnswerLost]);
     /// ```
-    pub fn find(text: &str) -> Vec<Kind> {
+    pub fn find(text: &str) -> Vec<FaultKind> {
         let words = text.split(|c: char| !(c.is_ascii_lowercase() || c == '_' || c == '+'));
         words
-            .filter_map(|word| Kind::read(word).ok())
+            .filter_map(|word| FaultKind::read(word).ok())
             .max_by_key(Vec::len)
             .unwrap_or_default()
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -15,8 +15,9 @@
 
 pub use fields::Fault;
 pub use grebecleat_scheduler::api::{DeduplicationScope, Idempotency, SlowStartPolicy};
-pub use kinds::Kind;
+pub use kinds::FaultKind;
 pub use settings::{
-    Bounds, CoordinationSpec, HostSpec, ListSpec, NamedPlan, NodeSpec, PortalSpec, Rehearsal,
-    Rules, ScriptedChange, Settings, StateSpec, Stream, TargetSpec, Trouble, VolumeSpec,
+    Bounds, CoordinationSpec, DiscoverySpec, FaultSpec, HostSpec, NodeSpec, PlanSpec, PortalSpec,
+    Rehearsal, Rules, ScriptedChange, Settings, StateSpec, TargetSpec, TrafficClassSpec,
+    VolumeSpec,
 };
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -14,9 +14,9 @@
 
 pub use iscsi::{PortalSpec, TargetSpec};
 pub use limits::{Bounds, Rules};
-pub use plans::{NamedPlan, Stream};
-pub use rehearsal::{Rehearsal, ScriptedChange, Trouble};
-pub use services::{CoordinationSpec, ListSpec, StateSpec};
+pub use plans::{PlanSpec, TrafficClassSpec};
+pub use rehearsal::{FaultSpec, Rehearsal, ScriptedChange};
+pub use services::{CoordinationSpec, DiscoverySpec, StateSpec};
 pub use topology::{HostSpec, NodeSpec, VolumeSpec};
 
 use crate::fields::{Fault, Place};
@@ -45,9 +45,9 @@
     /// The names of the zones.
     pub zones: Vec<String>,
     /// The traffic classes.
-    pub traffic_classes: Vec<Stream>,
+    pub traffic_classes: Vec<TrafficClassSpec>,
     /// The plans.
-    pub plans: Vec<NamedPlan>,
+    pub plans: Vec<PlanSpec>,
     /// The volumes.
     pub volumes: Vec<VolumeSpec>,
     /// The storage nodes.
@@ -55,7 +55,7 @@
     /// The hosts.
     pub hosts: Vec<HostSpec>,
     /// The discovery service.
-    pub list: ListSpec,
+    pub list: DiscoverySpec,
     /// The state service; `None` if the settings declare the configuration.
     pub state: Option<StateSpec>,
     /// The coordination among hosts; `None` if every host decides by itself.
@@ -164,14 +164,14 @@
     items.iter().map(|item| name(item).as_str()).collect()
 }
 
-fn read_traffic_classes(reader: &mut CallReader) -> Vec<Stream> {
+fn read_traffic_classes(reader: &mut CallReader) -> Vec<TrafficClassSpec> {
     let classes = reader.each("stream_type", plans::stream);
     let class_names = classes.iter().map(|class| class.name.clone()).collect();
     reader.unique("stream_type", "name", class_names);
     classes
 }
 
-fn read_plans(reader: &mut CallReader) -> Vec<NamedPlan> {
+fn read_plans(reader: &mut CallReader) -> Vec<PlanSpec> {
     let plans = reader.each("plan", plans::plan);
     let plan_names = plans.iter().map(|plan| plan.name.clone()).collect();
     reader.unique("plan", "name", plan_names);
@@ -202,7 +202,7 @@
 
 fn read_volumes(
     reader: &mut CallReader,
-    plans: &[NamedPlan],
+    plans: &[PlanSpec],
     hosts: &[&str],
     nodes: &[NodeSpec],
 ) -> Vec<VolumeSpec> {
@@ -217,10 +217,10 @@
 /// Adds a fault if a limit's slack is too small. An attempt is charged to the limit when it is
 /// decided, and reaches its node up to the maximum dispatch delay later. A burst at the nodes can
 /// therefore exceed the limit by the rate over that time.
-fn check_limit_slack(reader: &mut CallReader, plans: &[NamedPlan], bounds: &Bounds) {
-    let least_slack = |plan: &NamedPlan| plan.facts.limit * bounds.max_dispatch_delay.as_secs_f64();
+fn check_limit_slack(reader: &mut CallReader, plans: &[PlanSpec], bounds: &Bounds) {
+    let least_slack = |plan: &PlanSpec| plan.facts.limit * bounds.max_dispatch_delay.as_secs_f64();
     let is_short =
-        |plan: &&NamedPlan| plan.facts.limit > 0.0 && plan.facts.limit_slack < least_slack(plan);
+        |plan: &&PlanSpec| plan.facts.limit > 0.0 && plan.facts.limit_slack < least_slack(plan);
     if let Some(plan) = plans.iter().find(is_short) {
         let least = least_slack(plan);
         reader.file_fault(format!(
@@ -233,7 +233,7 @@
 fn read_portals(
     reader: &mut CallReader,
     hosts: &[&str],
-    traffic_classes: &[Stream],
+    traffic_classes: &[TrafficClassSpec],
     units: &UnitSettings,
 ) -> Vec<PortalSpec> {
     let class_names = names(traffic_classes, |class| &class.name);
@@ -267,7 +267,7 @@
     nodes: &[NodeSpec],
 ) -> Option<Rehearsal> {
     let node_ids: BTreeSet<u32> = nodes.iter().map(|node| node.id).collect();
-    let troubles = reader.each("trouble", |f| {
+    let injected_faults = reader.each("trouble", |f| {
         rehearsal::trouble(f, zones, hosts, &node_ids)
     });
     let changes = reader.each("change", rehearsal::change);
@@ -275,5 +275,7 @@
         return None;
     }
     let run = reader.once("rehearsal", rehearsal::run);
-    Some(reader.once("load_of", |f| rehearsal::load(f, run, &troubles, &changes)))
+    Some(reader.once("load_of", |f| {
+        rehearsal::load(f, run, &injected_faults, &changes)
+    }))
 }
--- a/crates/settings/src/settings/limits.rs
+++ b/crates/settings/src/settings/limits.rs
@@ -15,7 +15,7 @@
     /// The retry budget; `None` if retries are not limited.
     pub attempts: Option<RetryBudget>,
     /// How long a key rests after a request before its next request is sent.
-    pub key_rest: Duration,
+    pub key_cool_down: Duration,
     /// Time that is reserved before every deadline, so that the answer reaches the client in time.
     pub answer_margin: Duration,
 }
@@ -96,7 +96,7 @@
             ratio: share,
             window,
         }),
-        key_rest: fields.duration("key_rest", Some(ms(200)), DAY),
+        key_cool_down: fields.duration("key_rest", Some(ms(200)), DAY),
         answer_margin: fields.duration("answer_margin", Some(ms(20)), DAY),
     }
 }
--- a/crates/settings/src/settings/plans.rs
+++ b/crates/settings/src/settings/plans.rs
@@ -8,7 +8,7 @@
 
 /// A traffic class, as `stream_type()` declares it.
 #[derive(Debug, Clone)]
-pub struct Stream {
+pub struct TrafficClassSpec {
     /// The class's name.
     pub name: String,
     /// The class, as the scheduler has it.
@@ -25,7 +25,7 @@
 
 /// A plan with its name, as `plan()` declares it.
 #[derive(Debug, Clone)]
-pub struct NamedPlan {
+pub struct PlanSpec {
     /// The plan's name.
     pub name: String,
     /// The plan, as the scheduler has it.
@@ -39,7 +39,7 @@
 const MAX_RATE: f64 = 1e9;
 
 /// Reads a `stream_type()`.
-pub(super) fn stream(fields: &mut Fields) -> Stream {
+pub(super) fn stream(fields: &mut Fields) -> TrafficClassSpec {
     let idempotency = idempotency(fields);
     let name = fields.text("name", None);
     let latency_objective = fields.duration("slo", None, DAY);
@@ -57,7 +57,7 @@
         priority_weight: fields.number("benefit", Some(1.0), (0.0, 1e6)),
         late_fraction: fields.number("late_part", Some(0.2), (0.0, 1.0)),
     };
-    Stream {
+    TrafficClassSpec {
         name,
         facts,
         deadline,
@@ -100,7 +100,7 @@
 }
 
 /// Reads a `plan()`.
-pub(super) fn plan(fields: &mut Fields) -> NamedPlan {
+pub(super) fn plan(fields: &mut Fields) -> PlanSpec {
     let rate = |fields: &mut Fields, name, default| fields.number(name, default, (0.0, MAX_RATE));
     let facts = Plan {
         base_rate: rate(fields, "rate", None),
@@ -126,7 +126,7 @@
             "expected more than 0 where there is a limit".into(),
         );
     }
-    NamedPlan {
+    PlanSpec {
         name: fields.text("name", None),
         facts,
     }
--- a/crates/settings/src/settings/rehearsal.rs
+++ b/crates/settings/src/settings/rehearsal.rs
@@ -2,15 +2,15 @@
 
 use super::{ms, DAY};
 use crate::fields::Fields;
-use crate::kinds::Kind;
+use crate::kinds::FaultKind;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// An injected fault, as `trouble()` declares it.
 #[derive(Debug, Clone)]
-pub struct Trouble {
+pub struct FaultSpec {
     /// The kind of the fault.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// When the fault begins, counted from the rehearsal's start.
     pub at: Duration,
     /// How long the fault lasts.
@@ -61,7 +61,7 @@
     /// iSCSI sessions at each target of each portal.
     pub sessions: u8,
     /// The injected faults.
-    pub troubles: Vec<Trouble>,
+    pub injected_faults: Vec<FaultSpec>,
     /// The changes of the configuration.
     pub changes: Vec<ScriptedChange>,
 }
@@ -85,7 +85,7 @@
 pub(super) fn load(
     fields: &mut Fields,
     run: Run,
-    troubles: &[Trouble],
+    injected_faults: &[FaultSpec],
     changes: &[ScriptedChange],
 ) -> Rehearsal {
     Rehearsal {
@@ -97,7 +97,7 @@
         reread: fields.number("reread", Some(0.3), (0.0, 1.0)),
         bytes_per_unit: fields.integer("bytes_per_unit", Some(512), (1, 1 << 20)) as u32,
         sessions: fields.integer("sessions", Some(4), (0, 64)) as u8,
-        troubles: troubles.to_vec(),
+        injected_faults: injected_faults.to_vec(),
         changes: changes.to_vec(),
     }
 }
@@ -108,9 +108,9 @@
     zones: &[&str],
     hosts: &[&str],
     nodes: &BTreeSet<u32>,
-) -> Trouble {
-    let names: Vec<&str> = Kind::ALL.iter().map(|(name, _)| *name).collect();
-    let kind = Kind::ALL[fields.one_of("kind", None, &names)].1;
+) -> FaultSpec {
+    let names: Vec<&str> = FaultKind::ALL.iter().map(|(name, _)| *name).collect();
+    let kind = FaultKind::ALL[fields.one_of("kind", None, &names)].1;
     let affected: Vec<u32> = fields
         .numbers("nodes", u64::from(u32::MAX))
         .into_iter()
@@ -124,7 +124,7 @@
         .raw("zone")
         .is_some()
         .then(|| fields.one_of("zone", None, zones));
-    Trouble {
+    FaultSpec {
         kind,
         at: fields.duration("at", None, DAY),
         len: fields.duration("len", Some(ms(5000)), DAY),
--- a/crates/settings/src/settings/services.rs
+++ b/crates/settings/src/settings/services.rs
@@ -9,7 +9,7 @@
 
 /// The discovery service, as `node_list()` declares it.
 #[derive(Debug, Clone)]
-pub struct ListSpec {
+pub struct DiscoverySpec {
     /// The address of the discovery service, if the settings name one.
     pub address: Option<SocketAddr>,
     /// The way in which hosts poll the endpoint list.
@@ -50,8 +50,8 @@
 }
 
 /// Reads a `node_list()`.
-pub(super) fn list(fields: &mut Fields) -> ListSpec {
-    ListSpec {
+pub(super) fn list(fields: &mut Fields) -> DiscoverySpec {
+    DiscoverySpec {
         address: address(fields, "address"),
         rule: DiscoveryPolicy {
             polled: fields.boolean("on_asking", Some(true)),
--- a/crates/settings/src/settings/topology.rs
+++ b/crates/settings/src/settings/topology.rs
@@ -47,13 +47,13 @@
     /// Length of a pause.
     pub pause: Duration,
     /// Fraction of a write's work that the node defers.
-    pub put_off: f64,
+    pub deferred_fraction: f64,
     /// Time between two times at which it does the deferred work.
     pub flush_every: Duration,
     /// Fraction of the work that it saves for cached data.
-    pub warm_saves: f64,
+    pub cache_savings: f64,
     /// Number of keys that it caches.
-    pub warm_keys: usize,
+    pub cached_keys: usize,
 }
 
 /// A host, as `host()` declares it.
@@ -124,10 +124,10 @@
         queue: fields.integer("queue", Some(64), (1, 1 << 20)) as usize,
         pause_every: fields.duration("pause_every", Some(Duration::ZERO), DAY),
         pause: fields.duration("pause", Some(Duration::ZERO), DAY),
-        put_off: fields.number("put_off", Some(0.0), (0.0, 0.95)),
+        deferred_fraction: fields.number("put_off", Some(0.0), (0.0, 0.95)),
         flush_every: fields.duration("flush_every", Some(ms(2000)), DAY),
-        warm_saves: fields.number("warm_saves", Some(0.4), (0.0, 0.95)),
-        warm_keys: fields.integer("warm_keys", Some(2), (0, 1024)) as usize,
+        cache_savings: fields.number("warm_saves", Some(0.4), (0.0, 0.95)),
+        cached_keys: fields.integer("warm_keys", Some(2), (0, 1024)) as usize,
     }
 }
 
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::draw::{injected_faults, random_generator, InjectedFault};
 use crate::net::{self, hello, PeerConnection, PeerEvent};
 use bytes::Bytes;
-use grebecleat_settings::{Kind, Rehearsal, Settings};
+use grebecleat_settings::{FaultKind, Rehearsal, Settings};
 use grebecleat_wire::pb::{self, frame::Body, Outcome};
 use grebecleat_wire::trace::Tracer;
 use grebecleat_wire::{clock, pb::Response};
@@ -46,7 +46,7 @@
     /// Reads that returned content that no client wrote to the extent.
     pub wrong_content: u64,
     /// Requests whose host was not connected at their first attempt.
-    pub unreached: u64,
+    pub without_host: u64,
     /// For each plan: requests, those completed within their latency objective, and those completed later.
     pub plans: BTreeMap<usize, (u64, u64, u64)>,
     /// For each volume's index and second of arrival: requests, and those completed within their latency
@@ -235,7 +235,7 @@
             );
         }
         for (i, s) in self.injected_faults.clone().iter().enumerate() {
-            let surges = matches!(s.kind, Kind::HotKey | Kind::Scan);
+            let surges = matches!(s.kind, FaultKind::HotKey | FaultKind::Scan);
             for volume in s
                 .volumes
                 .iter()
@@ -344,7 +344,7 @@
         let reconnects = self
             .injected_faults
             .iter()
-            .filter(|s| s.kind == Kind::Reconnect && s.start <= at)
+            .filter(|s| s.kind == FaultKind::Reconnect && s.start <= at)
             .count();
         let spec = &self.settings.volumes[volume];
         let rng = &mut self.generators[volume];
@@ -418,7 +418,7 @@
         let traffic_class = &self.settings.traffic_classes[p.traffic_class];
         let deadline = p.arrived_at + traffic_class.deadline;
         let Some((_, connection)) = &self.connections[p.host] else {
-            self.counts.unreached += u64::from(p.attempts == 0);
+            self.counts.without_host += u64::from(p.attempts == 0);
             return self.end_attempt(request, None);
         };
         if now + Duration::from_millis(1) >= deadline {
--- a/crates/testbed/src/draw.rs
+++ b/crates/testbed/src/draw.rs
@@ -5,7 +5,7 @@
 //! communication. [`crate::node`], [`crate::serve`], [`crate::clients`] and [`crate::scenario`]
 //! call it. No I/O and no state.
 
-use grebecleat_settings::{Kind, Rehearsal, Settings, Trouble};
+use grebecleat_settings::{FaultKind, FaultSpec, Rehearsal, Settings};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct InjectedFault {
     /// The kind of the fault.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// The time at which the fault begins.
     pub start: Duration,
     /// The time for which the fault lasts.
@@ -68,7 +68,7 @@
 
 /// Returns the faults of a script, each with its targets.
 pub fn injected_faults(settings: &Settings, script: &Rehearsal) -> Vec<InjectedFault> {
-    let faults = script.troubles.iter().zip(FIRST_FAULT_PURPOSE..);
+    let faults = script.injected_faults.iter().zip(FIRST_FAULT_PURPOSE..);
     let faults = faults.map(|(fault, purpose)| {
         inject(settings, fault, &mut random_generator(script.seed, purpose))
     });
@@ -76,7 +76,7 @@
 }
 
 /// Draws the targets that the script leaves open. The draws are in the order nodes, hosts, volumes.
-fn inject(settings: &Settings, fault: &Trouble, rng: &mut Pcg64Mcg) -> InjectedFault {
+fn inject(settings: &Settings, fault: &FaultSpec, rng: &mut Pcg64Mcg) -> InjectedFault {
     let nodes = if fault.nodes.is_empty() {
         let in_zone = |zone: usize| fault.zone.is_none_or(|wanted| wanted == zone);
         let nodes = settings.nodes.iter().filter(|node| in_zone(node.zone));
@@ -105,7 +105,7 @@
 }
 
 /// Returns faults of the given kinds. All of them begin in the middle third of the scenario.
-pub fn faults_of_kinds(kinds: &[Kind], length: Duration, seed: u64) -> Vec<Trouble> {
+pub fn faults_of_kinds(kinds: &[FaultKind], length: Duration, seed: u64) -> Vec<FaultSpec> {
     let mut rng = random_generator(seed, FAULT_KINDS_PURPOSE);
     let faults = kinds
         .iter()
@@ -114,28 +114,29 @@
 }
 
 /// Draws one fault. The draws are in the order size, part, start, length.
-fn fault_of_kind(kind: Kind, length: Duration, rng: &mut Pcg64Mcg) -> Trouble {
+fn fault_of_kind(kind: FaultKind, length: Duration, rng: &mut Pcg64Mcg) -> FaultSpec {
     let size = match kind {
-        Kind::Slow => rng.random_range(3.0..8.0),
-        Kind::HeavyTail => rng.random_range(8.0..24.0),
-        Kind::DiscoveryStale | Kind::FeedLate => rng.random_range(2.0..6.0),
-        Kind::Ageing => 6.0,
-        Kind::HotKey | Kind::Scan => rng.random_range(3.0..8.0),
+        FaultKind::Slow => rng.random_range(3.0..8.0),
+        FaultKind::HeavyTail => rng.random_range(8.0..24.0),
+        FaultKind::DiscoveryStale | FaultKind::FeedLate => rng.random_range(2.0..6.0),
+        FaultKind::Ageing => 6.0,
+        FaultKind::HotKey | FaultKind::Scan => rng.random_range(3.0..8.0),
         _ => rng.random_range(0.6..1.0),
     };
-    let part = if kind == Kind::MassRestart {
+    let part = if kind == FaultKind::MassRestart {
         0.4
     } else {
         rng.random_range(0.15..0.35)
     };
     let at = length.mul_f64(rng.random_range(0.3..0.4));
     let len = match kind {
-        Kind::HostStall | Kind::HostCrash | Kind::StateCrash | Kind::StateRestored => {
-            Duration::from_secs_f64(rng.random_range(1.0..3.0))
-        }
+        FaultKind::HostStall
+        | FaultKind::HostCrash
+        | FaultKind::StateCrash
+        | FaultKind::StateRestored => Duration::from_secs_f64(rng.random_range(1.0..3.0)),
         _ => length.mul_f64(rng.random_range(0.25..0.4)),
     };
-    Trouble {
+    FaultSpec {
         kind,
         at,
         len,
--- a/crates/testbed/src/initiator.rs
+++ b/crates/testbed/src/initiator.rs
@@ -57,7 +57,7 @@
     /// was answered before a write may have returned the old data.
     results: VecDeque<(u32, Answer)>,
     /// Responses to commands that are unknown or already answered.
-    pub strays: u64,
+    pub unexpected_responses: u64,
 }
 
 fn text(pairs: &[(&str, &str)]) -> Vec<u8> {
@@ -96,7 +96,7 @@
             answered_task_request: None,
             outstanding: BTreeMap::new(),
             results: VecDeque::new(),
-            strays: 0,
+            unexpected_responses: 0,
         };
         let name_keys = [
             ("InitiatorName", parameters.initiator.as_str()),
@@ -306,7 +306,7 @@
     }
 
     /// Returns the next result of any command; `None` if none arrives within `span`.
-    pub fn any_within(&mut self, span: Duration) -> io::Result<Option<(u32, Answer)>> {
+    pub fn wait_any_timeout(&mut self, span: Duration) -> io::Result<Option<(u32, Answer)>> {
         self.flush()?;
         let until = grebecleat_wire::clock::now() + span;
         loop {
@@ -372,7 +372,7 @@
                 let last = h.flags() & 1 != 0;
                 self.update_sequence_numbers(&h, last);
                 let Some(c) = self.outstanding.get_mut(&itt) else {
-                    self.strays += 1;
+                    self.unexpected_responses += 1;
                     return Ok(());
                 };
                 let at = h.word40() as usize;
@@ -387,7 +387,7 @@
             Some(Opcode::ScsiResponse) => {
                 self.update_sequence_numbers(&h, true);
                 let Some(c) = self.outstanding.get_mut(&itt) else {
-                    self.strays += 1;
+                    self.unexpected_responses += 1;
                     return Ok(());
                 };
                 c.answer.status = h.byte(3);
--- a/crates/testbed/src/disks.rs
+++ b/crates/testbed/src/iscsi_load.rs
@@ -27,7 +27,7 @@
 const COMPLETION_GRACE: Duration = Duration::from_secs(20);
 
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Disks {
+pub struct IscsiCounts {
     pub commands: u64,
     pub answered: u64,
     /// Commands that were never answered, although they were sent again until the end.
@@ -46,8 +46,8 @@
     pub aborted: u64,
 }
 
-impl Disks {
-    pub fn add(&mut self, o: &Disks) {
+impl IscsiCounts {
+    pub fn add(&mut self, o: &IscsiCounts) {
         let all = [
             (&mut self.commands, o.commands),
             (&mut self.answered, o.answered),
@@ -101,9 +101,9 @@
         }
     }
 
-    pub fn run(&self, seed: u64) -> Disks {
+    pub fn run(&self, seed: u64) -> IscsiCounts {
         let mut rng = random_generator(seed, 500_000 + u64::from(self.number));
-        let mut counts = Disks::default();
+        let mut counts = IscsiCounts::default();
         let mut possible_values: BTreeMap<(u64, u64), PossibleValues> = BTreeMap::new();
         let (mut resend, mut value, mut step): (VecDeque<Command>, u64, u64) =
             (VecDeque::new(), 0, 0);
@@ -161,7 +161,7 @@
                 let left = oldest.map_or(COMMAND_TIMEOUT, |(_, since)| {
                     (since + COMMAND_TIMEOUT).saturating_sub(clock::now())
                 });
-                match (i.any_within(left), oldest) {
+                match (i.wait_any_timeout(left), oldest) {
                     (Ok(Some((itt, answer))), _) => match open.remove(&itt) {
                         Some((command, _)) => check_response(
                             &command,
@@ -184,7 +184,7 @@
                     (Err(e), _) => break Err(e),
                 }
             };
-            counts.doubled += i.strays;
+            counts.doubled += i.unexpected_responses;
             resend.extend(open.into_values().map(|(command, _)| command));
             if ended.is_err() {
                 std::thread::sleep(Duration::from_millis(50));
@@ -247,7 +247,7 @@
     answer: &Answer,
     step: u64,
     possible_values: &mut BTreeMap<(u64, u64), PossibleValues>,
-    counts: &mut Disks,
+    counts: &mut IscsiCounts,
 ) {
     counts.answered += 1;
     match answer.status {
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`node`] and [`discovery_service`] are models without I/O; [`draw`] draws the targets of each
 //!   injected fault from the script's seed, with the same result in every process;
 //! - [`net`] and [`serve`] run the models on sockets;
-//! - [`clients`] generates the client load, [`disks`] the iSCSI load through [`initiator`];
+//! - [`clients`] generates the client load, [`iscsi_load`] the iSCSI load through [`initiator`];
 //! - [`relay`] forwards connections between hosts and the state service, [`links`] those between hosts;
 //!   both inject faults into the connections;
 //! - [`versions`] keeps late writes at a node from overwriting newer ones;
@@ -15,9 +15,9 @@
 
 pub mod clients;
 pub mod discovery_service;
-pub mod disks;
 pub mod draw;
 pub mod initiator;
+pub mod iscsi_load;
 pub mod links;
 pub mod net;
 pub mod node;
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -22,7 +22,7 @@
 
 use crate::draw::{hash_to_unit, InjectedFault};
 use bytes::Bytes;
-use grebecleat_settings::{Kind, NodeSpec, Settings};
+use grebecleat_settings::{FaultKind, NodeSpec, Settings};
 use grebecleat_wire::pb;
 use jobs::{Job, Jobs};
 use pauses::Pauses;
@@ -175,7 +175,7 @@
         f64::from(self.spec.cores) * self.spec.speed / work.max(MIN_UNIT_WORK)
     }
 
-    fn active_fault(&self, kind: Kind, now: Duration) -> Option<&InjectedFault> {
+    fn active_fault(&self, kind: FaultKind, now: Duration) -> Option<&InjectedFault> {
         let mut faults = self.faults.iter();
         faults.find(|fault| fault.kind == kind && fault.is_active(now))
     }
@@ -186,15 +186,15 @@
             .slow_start
             .speed_fraction(now, &self.settings.rules.cold);
         let mut speed = self.spec.speed * speed_fraction;
-        if let Some(fault) = self.active_fault(Kind::Slow, now) {
+        if let Some(fault) = self.active_fault(FaultKind::Slow, now) {
             speed /= fault.magnitude.max(1.0);
         }
-        if let Some(fault) = self.active_fault(Kind::Neighbour, now) {
+        if let Some(fault) = self.active_fault(FaultKind::Neighbour, now) {
             if (now - fault.start).as_secs() % NEIGHBOR_CYCLE < NEIGHBOR_ACTIVE {
                 speed *= (1.0 - fault.magnitude).max(MIN_NEIGHBOR_FRACTION);
             }
         }
-        if let Some(fault) = self.active_fault(Kind::Ageing, now) {
+        if let Some(fault) = self.active_fault(FaultKind::Ageing, now) {
             let length = fault.duration.as_secs_f64().max(MIN_SECONDS);
             let elapsed = (now - fault.start).as_secs_f64() / length;
             speed /= 1.0 + (fault.magnitude.max(1.0) - 1.0) * elapsed;
@@ -210,20 +210,20 @@
         let id = bytes.fold(0u64, |hash, byte| hash.wrapping_mul(131) + u64::from(*byte));
         let noise = 0.5 + hash_to_unit(self.seed, &[id, NOISE_WORD]);
         let mut work = class.unit_work.mul_f64(attempt.units * noise);
-        if let Some(fault) = self.active_fault(Kind::HeavyTail, now) {
+        if let Some(fault) = self.active_fault(FaultKind::HeavyTail, now) {
             if hash_to_unit(self.seed, &[id, HEAVY_TAIL_WORD]) < HEAVY_TAIL_FRACTION {
                 work = work.mul_f64(fault.magnitude.max(1.0));
             }
         }
         if attempt.number == 0 && self.recent_extents.contains(&attempt.extent) {
-            work = work.mul_f64(1.0 - self.spec.warm_saves);
+            work = work.mul_f64(1.0 - self.spec.cache_savings);
         }
         self.recent_extents.push_back(attempt.extent);
-        if self.recent_extents.len() > self.spec.warm_keys {
+        if self.recent_extents.len() > self.spec.cached_keys {
             self.recent_extents.pop_front();
         }
         if attempt.write {
-            let deferred = work.mul_f64(self.spec.put_off);
+            let deferred = work.mul_f64(self.spec.deferred_fraction);
             self.pauses.defer(deferred);
             work -= deferred;
         }
@@ -257,7 +257,7 @@
             self.stop();
             return actions.push(NodeAction::Down { overloaded: true });
         }
-        if self.active_fault(Kind::Hang, now).is_some() {
+        if self.active_fault(FaultKind::Hang, now).is_some() {
             return;
         }
         if self.fails_fast(&attempt, now) {
@@ -280,7 +280,7 @@
     /// Returns whether a fault makes the node respond to an attempt with an error at once.
     fn fails_fast(&self, attempt: &pb::Attempt, now: Duration) -> bool {
         let id = attempt.attempt ^ u64::from(attempt.node) << 32;
-        let fault = self.active_fault(Kind::FastErrors, now);
+        let fault = self.active_fault(FaultKind::FastErrors, now);
         fault.is_some_and(|fault| hash_to_unit(self.seed, &[id, FAST_ERROR_WORD]) < fault.magnitude)
     }
 
@@ -410,7 +410,7 @@
     /// Returns whether a fault loses the response to an attempt.
     fn loses_response(&self, attempt: &pb::Attempt, now: Duration) -> bool {
         let id = attempt.attempt ^ LOST_RESPONSE_BITS;
-        let fault = self.active_fault(Kind::AnswerLost, now);
+        let fault = self.active_fault(FaultKind::AnswerLost, now);
         fault.is_some_and(|fault| {
             hash_to_unit(self.seed, &[id, LOST_RESPONSE_WORD]) < fault.magnitude
         })
--- a/crates/testbed/src/node/script.rs
+++ b/crates/testbed/src/node/script.rs
@@ -1,7 +1,7 @@
 //! The scripted changes of one node's process: its drains and restarts.
 
 use crate::draw::{hash_to_unit, InjectedFault};
-use grebecleat_settings::Kind;
+use grebecleat_settings::FaultKind;
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -31,17 +31,17 @@
         let mut changes = Vec::new();
         for fault in faults {
             match fault.kind {
-                Kind::MassRestart => {
+                FaultKind::MassRestart => {
                     let random = hash_to_unit(seed, &[u64::from(node), DOWNTIME_WORD]);
                     let down = Duration::from_secs_f64(MASS_RESTART_DOWNTIME_SECONDS + random);
                     changes.push((fault.start, ProcessChange::Stop));
                     changes.push((fault.start + down, ProcessChange::Start));
                 }
-                Kind::Drain => {
+                FaultKind::Drain => {
                     changes.push((fault.start, ProcessChange::Drain));
                     changes.push((fault.end(), ProcessChange::Undrain));
                 }
-                Kind::Ageing => {
+                FaultKind::Ageing => {
                     changes.push((fault.end(), ProcessChange::Stop));
                     changes.push((fault.end() + AGEING_DOWNTIME, ProcessChange::Start));
                 }
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -26,7 +26,7 @@
 
 use crate::clients::Progress;
 use crate::draw::faults_of_kinds;
-use grebecleat_settings::{Kind, Settings};
+use grebecleat_settings::{FaultKind, Settings};
 use grebecleat_wire::clock;
 use std::path::{Path, PathBuf};
 
@@ -41,7 +41,7 @@
     /// The path of the script, which each process reads by itself.
     pub script: &'a Path,
     /// The kinds of faults that replace the script's faults; if empty, the script's faults apply.
-    pub kinds: &'a [Kind],
+    pub kinds: &'a [FaultKind],
     /// The seed that replaces the script's own.
     pub seed: Option<u64>,
     /// The folder for traces, logs and stores.
@@ -53,13 +53,13 @@
 }
 
 /// Replaces the script's seed if a seed is given, and its faults if kinds of faults are given.
-pub fn override_faults(settings: &mut Settings, kinds: &[Kind], seed: Option<u64>) {
+pub fn override_faults(settings: &mut Settings, kinds: &[FaultKind], seed: Option<u64>) {
     let Some(script) = settings.rehearsal.as_mut() else {
         return;
     };
     script.seed = seed.unwrap_or(script.seed);
     if !kinds.is_empty() {
-        script.troubles = faults_of_kinds(kinds, script.length, script.seed);
+        script.injected_faults = faults_of_kinds(kinds, script.length, script.seed);
     }
 }
 
--- a/crates/testbed/src/scenario/host_processes.rs
+++ b/crates/testbed/src/scenario/host_processes.rs
@@ -7,7 +7,7 @@
 use crate::draw::InjectedFault;
 use crate::links::Links;
 use crate::relay::Relay;
-use grebecleat_settings::{Kind, Settings};
+use grebecleat_settings::{FaultKind, Settings};
 use grebecleat_wire::pb::{marked::What, Marked};
 use grebecleat_wire::trace::Tracer;
 use std::collections::BTreeSet;
@@ -128,11 +128,11 @@
         faults.sort_by_key(|fault| fault.start);
         for fault in faults {
             match fault.kind {
-                Kind::HostCrash => {
+                FaultKind::HostCrash => {
                     start += 1;
                     process = self.crash(host, process, fault, start)?;
                 }
-                Kind::HostStall => self.stall(host, &process, fault)?,
+                FaultKind::HostStall => self.stall(host, &process, fault)?,
                 _ => {}
             }
         }
@@ -184,7 +184,7 @@
 
     /// Cuts or delays the connections between hosts and the state service at the script's times.
     pub(super) fn inject_feed_faults(&self, faults: &[InjectedFault]) {
-        let kinds = [Kind::FeedCut, Kind::FeedLate];
+        let kinds = [FaultKind::FeedCut, FaultKind::FeedLate];
         let mut steps: Vec<(Duration, &InjectedFault, bool)> = Vec::new();
         for fault in faults.iter().filter(|fault| kinds.contains(&fault.kind)) {
             steps.extend([(fault.start, fault, true), (fault.end(), fault, false)]);
@@ -194,7 +194,7 @@
             self.launcher.sleep_until(at);
             let relays = fault.hosts.iter().filter_map(|host| self.relays.get(*host));
             for relay in relays {
-                if fault.kind == Kind::FeedCut {
+                if fault.kind == FaultKind::FeedCut {
                     relay.set_cut(begins);
                 } else {
                     let seconds = if begins { fault.magnitude } else { 0.0 };
@@ -207,7 +207,7 @@
     /// Partitions hosts from each other, in both directions or one, at the script's times.
     pub(super) fn inject_gossip_faults(&self, faults: &[InjectedFault]) {
         let Some(links) = &self.links else { return };
-        let kinds = [Kind::HostCut, Kind::HostDeaf];
+        let kinds = [FaultKind::HostCut, FaultKind::HostDeaf];
         let faults = faults.iter().filter(|fault| kinds.contains(&fault.kind));
         let faults: Vec<&InjectedFault> = faults.collect();
         let times = faults.iter().flat_map(|fault| [fault.start, fault.end()]);
@@ -231,10 +231,10 @@
                 let inward = (other, *affected);
                 let outward = (*affected, other);
                 match fault.kind {
-                    Kind::HostCut if !fault.hosts.contains(&other) => {
+                    FaultKind::HostCut if !fault.hosts.contains(&other) => {
                         pairs.extend([outward, inward]);
                     }
-                    Kind::HostDeaf if other != *affected => pairs.extend([inward]),
+                    FaultKind::HostDeaf if other != *affected => pairs.extend([inward]),
                     _ => {}
                 }
             }
--- a/crates/testbed/src/scenario/runner.rs
+++ b/crates/testbed/src/scenario/runner.rs
@@ -7,8 +7,8 @@
 use super::state_service::{CatalogChangeResult, StateService};
 use super::{ScenarioError, ScenarioOptions, MAX_TRACE};
 use crate::clients::{ClientCounts, Clients};
-use crate::disks::{Disks, Session};
 use crate::draw::{injected_faults, InjectedFault};
+use crate::iscsi_load::{IscsiCounts, Session};
 use crate::net::hello;
 use grebecleat_settings::Rehearsal;
 use grebecleat_wire::{clock, pb, trace::Tracer};
@@ -30,7 +30,7 @@
     /// The counts of the clients.
     pub counts: ClientCounts,
     /// The counts of the iSCSI initiators.
-    pub disks: Disks,
+    pub iscsi_load: IscsiCounts,
     /// The results of the changes of the catalog.
     pub changes: Vec<CatalogChangeResult>,
 }
@@ -117,7 +117,7 @@
                 .collect();
             let sessions = self.start_sessions(scope);
             let counts = clients.run();
-            let disks = sum_sessions(sessions);
+            let iscsi_load = sum_sessions(sessions);
             let changes = changes.join().unwrap_or_default();
             let state_service = joined(state_service);
             let processes = Processes {
@@ -126,7 +126,7 @@
             };
             let result = ScenarioResult {
                 counts,
-                disks,
+                iscsi_load,
                 changes,
             };
             Ok((result, processes))
@@ -137,7 +137,7 @@
     fn start_sessions<'scope>(
         &'scope self,
         scope: &'scope Scope<'scope, '_>,
-    ) -> Vec<ScopedJoinHandle<'scope, Disks>> {
+    ) -> Vec<ScopedJoinHandle<'scope, IscsiCounts>> {
         let settings = self.launcher.options().settings;
         let mut sessions = Vec::new();
         for portal in self.hosts.portals() {
@@ -189,8 +189,8 @@
 }
 
 /// Adds up the counts of the sessions. A session that panicked is left out.
-fn sum_sessions(sessions: Vec<ScopedJoinHandle<Disks>>) -> Disks {
-    let mut sum = Disks::default();
+fn sum_sessions(sessions: Vec<ScopedJoinHandle<IscsiCounts>>) -> IscsiCounts {
+    let mut sum = IscsiCounts::default();
     for session in sessions {
         if let Ok(counts) = session.join() {
             sum.add(&counts);
