--- a/crates/testbed/src/scenario/state_service.rs
+++ b/crates/testbed/src/scenario/state_service.rs
@@ -5,7 +5,7 @@
 use super::process::ChildProcess;
 use super::ScenarioError;
 use crate::draw::InjectedFault;
-use grebecleat_settings::{Kind, ScriptedChange};
+use grebecleat_settings::{FaultKind, ScriptedChange};
 use std::net::SocketAddr;
 use std::process::Command;
 use std::time::Duration;
@@ -75,7 +75,7 @@
         mut process: Option<ChildProcess>,
         faults: &[InjectedFault],
     ) -> Result<Option<ChildProcess>, ScenarioError> {
-        let kinds = [Kind::StateCrash, Kind::StateRestored];
+        let kinds = [FaultKind::StateCrash, FaultKind::StateRestored];
         let mut faults: Vec<&InjectedFault> = faults
             .iter()
             .filter(|fault| kinds.contains(&fault.kind))
@@ -83,7 +83,7 @@
         faults.sort_by_key(|fault| fault.start);
         for (start, fault) in (1..).zip(faults) {
             self.launcher.sleep_until(fault.start);
-            process = if fault.kind == Kind::StateCrash {
+            process = if fault.kind == FaultKind::StateCrash {
                 self.crash(process, fault, start)?
             } else {
                 self.restore(process, fault, start)?
--- a/crates/testbed/src/serve/discovery_server.rs
+++ b/crates/testbed/src/serve/discovery_server.rs
@@ -4,7 +4,7 @@
 use crate::discovery_service::DiscoveryService;
 use crate::draw::{random_generator, InjectedFault};
 use crate::net::{self, hello, PeerConnection, PeerEvent};
-use grebecleat_settings::Kind;
+use grebecleat_settings::FaultKind;
 use grebecleat_wire::pb::{self, frame::Body};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -97,7 +97,7 @@
 
     /// Returns the additional lag of the active faults, in which the service is stale.
     fn additional_lag(&self, now: Duration) -> Duration {
-        let stale = |fault: &&InjectedFault| fault.kind == Kind::DiscoveryStale;
+        let stale = |fault: &&InjectedFault| fault.kind == FaultKind::DiscoveryStale;
         let faults = self.faults.iter().filter(stale);
         let active = faults.filter(|fault| fault.is_active(now));
         let lags = active.map(|fault| Duration::from_secs_f64(fault.magnitude));
--- a/crates/testbed/src/serve/node_server.rs
+++ b/crates/testbed/src/serve/node_server.rs
@@ -5,7 +5,7 @@
 use crate::draw::InjectedFault;
 use crate::net::{self, hello, PeerConnection, PeerEvent};
 use crate::node::{Meter, Node, NodeAction, ProcessState};
-use grebecleat_settings::{Kind, NodeSpec};
+use grebecleat_settings::{FaultKind, NodeSpec};
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body, marked::What, Marked};
 use std::collections::BTreeMap;
@@ -267,7 +267,7 @@
         };
         self.faults
             .iter()
-            .filter(|fault| fault.kind == Kind::WayCut && fault.is_active(now))
+            .filter(|fault| fault.kind == FaultKind::WayCut && fault.is_active(now))
             .any(|fault| fault.nodes.contains(&id) && fault.hosts.contains(&host))
     }
 
--- a/crates/trace-checker/src/commands.rs
+++ b/crates/trace-checker/src/commands.rs
@@ -64,7 +64,7 @@
     }
 
     /// Returns whether every response arrived once, and every decided history is linearizable.
-    pub fn fine(&self) -> bool {
+    pub fn is_correct(&self) -> bool {
         self.missing == 0 && self.duplicates == 0 && self.faults.is_empty()
     }
 }
--- a/crates/trace-checker/src/rules/key_order.rs
+++ b/crates/trace-checker/src/rules/key_order.rs
@@ -51,7 +51,7 @@
     for (index, later) in requests.iter().enumerate() {
         for attempt in later.attempts.iter().map(|index| &host.attempts[*index]) {
             for earlier in &requests[..index] {
-                let cool_down = settings.rules.key_rest;
+                let cool_down = settings.rules.key_cool_down;
                 let Some(obstacle) = obstacle(host, earlier, attempt.frame.at, cool_down) else {
                     continue;
                 };
--- a/crates/trace-checker/tests/commands.rs
+++ b/crates/trace-checker/tests/commands.rs
@@ -219,7 +219,7 @@
             [1, 0, 0, 1, 0]
         };
         assert_eq!(
-            (counts(&commands), commands.fine()),
+            (counts(&commands), commands.is_correct()),
             (expected, ended),
             "{reason}"
         );
@@ -244,10 +244,10 @@
         host: trace.host.clone(),
         clients: trace.clients.clone(),
     };
-    assert!(trace.check().fine());
+    assert!(trace.check().is_correct());
     bad.read(9, 10, 5, &[8]);
     let commands = bad.check();
-    assert_eq!((commands.fine(), commands.faults.len()), (false, 1));
+    assert_eq!((commands.is_correct(), commands.faults.len()), (false, 1));
     assert!(
         commands.faults[0].starts_with("volume 5 block 8: no order"),
         "{}",
