--- a/crates/catalog/src/feed/quota.rs
+++ b/crates/catalog/src/feed/quota.rs
@@ -58,7 +58,7 @@
 ///     limit,
 ///     burst: 2.0 * limit,
 ///     hosts,
-///     mine: true,
+///     served_here: true,
 /// };
 /// let rate_of_4 = Some(Quota { rate: 4.0, burst: 8.0 });
 /// // The limit is raised from 8 to 12 over two hosts, and the change is not stable yet: the rate is
--- a/crates/host/src/process_pause.rs
+++ b/crates/host/src/process_pause.rs
@@ -37,8 +37,8 @@
     /// use std::time::Duration;
     /// let ms = Duration::from_millis;
     /// let mut pauses = ProcessPauses::default();
-    /// assert!(!pauses.woke(ms(100), ms(150)));
-    /// assert!(pauses.woke(ms(200), ms(1200)));
+    /// assert!(!pauses.record_wake(ms(100), ms(150)));
+    /// assert!(pauses.record_wake(ms(200), ms(1200)));
     /// // Of the time from 100 ms before the pause to 20 ms after it, 120 ms are not due to the pause.
     /// assert_eq!(ms(1220) - ms(100) - pauses.within(ms(100), ms(1220)), ms(120));
     /// assert_eq!(pauses.within(ms(1300), ms(1400)), ms(0));
--- a/crates/host/tests/config_follower.rs
+++ b/crates/host/tests/config_follower.rs
@@ -286,7 +286,8 @@
         ..Default::default()
     });
     assert!(
-        rig.is_closed(conn) && rig.has_logged("no change"),
+        rig.is_closed(conn)
+            && rig.has_logged("invalid entry 2: expected a base version below 2, found 9"),
         "{:?}",
         rig.log
     );
--- a/crates/membership/src/answers.rs
+++ b/crates/membership/src/answers.rs
@@ -46,17 +46,17 @@
     /// Returns the value that a host reports, given its measurements and its previous report.
     ///
     /// ```
-    /// use grebecleat_membership::answers::{Answers, NodeHealth};
+    /// use grebecleat_membership::answers::{ResponseHealth, AttemptMeasurements};
     /// use std::time::Duration;
-    /// let health = |admission_level, consecutive_failures, seconds| NodeHealth {
+    /// let health = |admission_level, consecutive_failures, seconds| AttemptMeasurements {
     ///     admission_level,
     ///     consecutive_failures,
     ///     since_success: Some(Duration::from_secs(seconds)),
     /// };
-    /// assert_eq!(Answers::of(health(1.0, 0, 3), Answers::None), Answers::Good);
-    /// assert_eq!(Answers::of(health(0.0, 0, 3), Answers::Good), Answers::Bad);
-    /// assert_eq!(Answers::of(health(0.3, 0, 3), Answers::Bad), Answers::Bad);
-    /// assert_eq!(Answers::of(health(0.6, 0, 30), Answers::Bad), Answers::None);
+    /// assert_eq!(ResponseHealth::of(health(1.0, 0, 3), ResponseHealth::None), ResponseHealth::Good);
+    /// assert_eq!(ResponseHealth::of(health(0.0, 0, 3), ResponseHealth::Good), ResponseHealth::Bad);
+    /// assert_eq!(ResponseHealth::of(health(0.3, 0, 3), ResponseHealth::Bad), ResponseHealth::Bad);
+    /// assert_eq!(ResponseHealth::of(health(0.6, 0, 30), ResponseHealth::Bad), ResponseHealth::None);
     /// ```
     pub fn of(health: AttemptMeasurements, before: ResponseHealth) -> ResponseHealth {
         let min_level = match before {
--- a/crates/membership/src/list_entry.rs
+++ b/crates/membership/src/list_entry.rs
@@ -38,7 +38,7 @@
     /// take precedence, but for no longer than the usual delay of the list.
     ///
     /// ```
-    /// use grebecleat_membership::list_reading::{ListEntry, ListedState};
+    /// use grebecleat_membership::list_entry::{ListEntry, ListedState};
     /// use std::time::Duration;
     /// let old = ListEntry { state: ListedState::Gone, incarnation: 1, started: None, revision: 9 };
     /// let started = Some(Duration::from_secs(5));
--- a/crates/membership/src/node_status.rs
+++ b/crates/membership/src/node_status.rs
@@ -160,13 +160,13 @@
 /// Returns the status of a node, and the source of evidence that decided it.
 ///
 /// ```
-/// use grebecleat_membership::answers::Answers;
-/// use grebecleat_membership::list_reading::ListedState;
+/// use grebecleat_membership::answers::ResponseHealth;
+/// use grebecleat_membership::list_entry::ListedState;
 /// use grebecleat_membership::node_status::{node_status, Evidence, NodeStatus, StatusSource};
 /// use grebecleat_catalog::records::Stage;
 /// let evidence = Evidence {
 ///     listed: ListedState::Ready,
-///     answers: Answers::Bad,
+///     answers: ResponseHealth::Bad,
 ///     warming: true,
 ///     ..Evidence::default()
 /// };
--- a/crates/settings/src/kinds.rs
+++ b/crates/settings/src/kinds.rs
@@ -90,9 +90,9 @@
     /// the first unknown name as an error.
     ///
     /// ```
-    /// use grebecleat_settings::Kind;
-    /// assert_eq!(Kind::read("hang+slow"), Ok(vec![Kind::Hang, Kind::Slow]));
-    /// assert_eq!(Kind::read("hang+flood"), Err("flood".to_string()));
+    /// use grebecleat_settings::FaultKind;
+    /// assert_eq!(FaultKind::read("hang+slow"), Ok(vec![FaultKind::Hang, FaultKind::Slow]));
+    /// assert_eq!(FaultKind::read("hang+flood"), Err("flood".to_string()));
     /// ```
     pub fn read(text: &str) -> Result<Vec<FaultKind>, String> {
         text.split('+')
@@ -110,9 +110,9 @@
     /// Returns the longest run of kinds joined by `+` in any text, such as a journal's entry.
     ///
     /// ```
-    /// use grebecleat_settings::Kind;
-    /// let found = Kind::find(r#""digest":"i8c21ad: ageing+answer_lost 0.31""#);
-    /// assert_eq!(found, vec![Kind::Ageing, Kind::AnswerLost]);
+    /// use grebecleat_settings::FaultKind;
+    /// let found = FaultKind::find(r#""digest":"i8c21ad: ageing+answer_lost 0.31""#);
+    /// assert_eq!(found, vec![FaultKind::Ageing, FaultKind::AnswerLost]);
     /// ```
     pub fn find(text: &str) -> Vec<FaultKind> {
         let words = text.split(|c: char| !(c.is_ascii_lowercase() || c == '_' || c == '+'));
